--- a/locktide/bench_adapter/wire.py
+++ b/locktide/bench_adapter/wire.py
@@ -31,6 +31,7 @@
     ResponseStarted,
     TimerFired,
 )
+from locktide.scheduler.log_events import log_line
 from locktide.scheduler.types import AttemptOutcome, EndpointState, ListUpdateKind
 
 Fields = dict[str, str]
@@ -219,7 +220,7 @@
         return "FETCH"
     if type(order) is ReportInternalError:  # a fault of ours is handed in here, not lived with
         raise RuntimeError(order.detail)
-    return "WRITE_LOG Line=" + " ".join(order.text.split())
+    return "WRITE_LOG Line=" + " ".join(log_line(order.event).split())
 
 
 def scheduler_config(text: str) -> SchedulerConfig:
--- a/locktide/dispatcher/dispatcher.py
+++ b/locktide/dispatcher/dispatcher.py
@@ -20,6 +20,7 @@
 from locktide.dispatcher.requests import RequestService
 from locktide.dispatcher.runtime import Runtime, ServingState
 from locktide.dispatcher.scheduler_bridge import CommandHandler, SchedulerBridge
+from locktide.dispatcher.scheduler_log import emit_log_event
 from locktide.dispatcher.settings import DispatcherSettings, with_socket_settings
 from locktide.protocol.discovery import DiscoveryUpdate
 from locktide.protocol.server_connection import Callback, JobQuery, SubmitRequest
@@ -137,7 +138,7 @@
             commands.FailRequest: self.requests.fail,
             commands.ReportInternalError: self.requests.fail_after_internal_error,
             commands.CloseIdleConnections: lambda command: self.upstream.close_idle(command.worker),
-            commands.LogMessage: lambda command: self.log.emit(command.text),
+            commands.WriteLog: lambda command: emit_log_event(self.log, command.event),
             # Where the list is not polled, the watch is always on.
             commands.WatchEndpoints: lambda _: self.follower.request_watch(),
             commands.FetchEndpoints: lambda _: None,
--- a/locktide/scheduler/commands.py
+++ b/locktide/scheduler/commands.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 from typing import TypeAlias
 
+from locktide.scheduler.log_events import LogEvent
 from locktide.scheduler.types import RequestId, WorkerId
 
 
@@ -121,14 +122,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogMessage:
-    """Writes a line to the log.
+class WriteLog:
+    """Write an event to the log.
 
     Attributes:
-        text: the line.
+        event: the event, with its id and fields; the host makes the text.
     """
 
-    text: str
+    event: LogEvent
 
 
 Command: TypeAlias = (
@@ -141,5 +142,5 @@
     | WatchEndpoints
     | FetchEndpoints
     | ReportInternalError
-    | LogMessage
+    | WriteLog
 )
--- a/locktide/scheduler/policy/attempt_outcomes.py
+++ b/locktide/scheduler/policy/attempt_outcomes.py
@@ -7,7 +7,7 @@
 from locktide.scheduler.policy.request_lifecycle import RequestLifecycle
 from locktide.scheduler.policy.retries import RetryPolicy
 from locktide.scheduler.state import Attempt, SchedulerState
-from locktide.scheduler.types import PROVEN_NOT_RUN, UNINFORMATIVE, UNSENT, AttemptOutcome
+from locktide.scheduler.types import PROVEN_NOT_RUN, UNINFORMATIVE, UNSENT, AttemptOutcome, SuspicionReason
 
 # Bound once: an access through the enum class costs 0.2 to 0.3 us on Python 3.11.
 DONE, ERROR, FULL = AttemptOutcome.DONE, AttemptOutcome.ERROR, AttemptOutcome.FULL
@@ -61,7 +61,7 @@
         projected = (state.now - attempt.started_at) / max(event.fraction_done, 0.001)
         if attempt.started_at and projected > long and not attempt.failure_recorded:
             attempt.failure_recorded = True
-            self._outliers.record_failure(attempt.endpoint, "slow progress")
+            self._outliers.record_failure(attempt.endpoint, SuspicionReason.SLOW_PROGRESS)
 
     def on_ended(self, event: AttemptEnded) -> None:
         """Takes note of the outcome of an attempt, and lets its request go on."""
@@ -97,13 +97,13 @@
                 state.set_timer(suspect_at - state.now, attempt)
             elif endpoint.last_heard_at < attempt.sent_at and not attempt.failure_recorded:
                 attempt.failure_recorded = True
-                self._outliers.record_failure(endpoint, "no start and no sign of life")
+                self._outliers.record_failure(endpoint, SuspicionReason.NO_START)
             if suspect_at <= state.now < attempt.presumed_lost_at:
                 state.set_timer(attempt.presumed_lost_at - state.now, attempt)
             self._retries.cancel_if_retry_pays(attempt)
         # One and a half: a progress report may be late by the network, never by half its interval.
         elif interval and state.now - attempt.last_heard_at > interval * 3 // 2:
-            self._outliers.record_failure(endpoint, "no progress told")
+            self._outliers.record_failure(endpoint, SuspicionReason.NO_PROGRESS)
             self._retries.cancel_if_retry_pays(attempt)
         elif interval:
             state.set_timer(interval * 3 // 2, attempt)
@@ -128,8 +128,10 @@
         request, endpoint = attempt.request, attempt.endpoint
         if outcome == ERROR:
             self._outliers.record_error(request, endpoint, self._retries.may_attempt(request))
-        elif outcome in (RESET, NO_CONNECTION):
-            self._outliers.record_failure(endpoint, outcome)
+        elif outcome == RESET:
+            self._outliers.record_failure(endpoint, SuspicionReason.RESET)
+        elif outcome == NO_CONNECTION:
+            self._outliers.record_failure(endpoint, SuspicionReason.NO_CONNECTION)
         elif outcome == FULL:
             endpoint.last_heard_at = self._state.now
             self._limiter.on_full(endpoint, self._state.usual_run_time(request))
--- a/locktide/scheduler/policy/endpoint_list.py
+++ b/locktide/scheduler/policy/endpoint_list.py
@@ -2,6 +2,7 @@
 
 from locktide.scheduler.commands import CloseIdleConnections, WatchEndpoints
 from locktide.scheduler.events import EndpointListUpdate
+from locktide.scheduler.log_events import EndpointListFetchFailed
 from locktide.scheduler.policy.concurrency_limit import ConcurrencyLimiter
 from locktide.scheduler.policy.load_ratings import LoadRatings
 from locktide.scheduler.state import Endpoint, SchedulerState, TimerPurpose
@@ -31,7 +32,7 @@
         if kind in (ListUpdateKind.FETCH_FAILED, ListUpdateKind.FETCH_TIMED_OUT):
             self.failures += 1
             delay = self._plan_poll(timed_out=kind == ListUpdateKind.FETCH_TIMED_OUT)
-            state.log(f"worker list failed, time {self.failures}: asking again in {delay // 1000} ms")
+            state.log(EndpointListFetchFailed(self.failures, retry_in_ms=delay // 1000))
             state.set_timer(delay, TimerPurpose.POLL)
             return
         if kind == ListUpdateKind.CACHED and state.config.endpoint_list.polled:
--- a/locktide/scheduler/policy/load_ratings.py
+++ b/locktide/scheduler/policy/load_ratings.py
@@ -3,9 +3,11 @@
 from math import exp
 
 from locktide.scheduler.events import EndpointEntry
+from locktide.scheduler.log_events import WorkerSuspected
 from locktide.scheduler.policy.outlier_detection import STALE_AFTER
 from locktide.scheduler.state import SchedulerState
 from locktide.scheduler.state.load_estimator import LoadEstimator
+from locktide.scheduler.types import SuspicionReason
 
 # What weighs in a draw, in parts of what a usual request earns; 0.02 scored 0.807 for 0.825, noise 0.045.
 COST_SCALE = 0.01
@@ -56,5 +58,5 @@
                 # Guards against one that takes work and does none: its rating stands still.
                 endpoint.stale_ratings += endpoint.load > 0.0
                 if endpoint.stale_ratings == STALE_AFTER:
-                    state.log(f"avoiding worker {endpoint.id}: its rating stands still")
+                    state.log(WorkerSuspected(endpoint.id, SuspicionReason.STALE_RATING))
         state.mean_load = sum([endpoint.load for endpoint in ready]) / max(1, len(ready))
--- a/locktide/scheduler/policy/load_shedding.py
+++ b/locktide/scheduler/policy/load_shedding.py
@@ -2,6 +2,7 @@
 
 from locktide.scheduler.commands import FailRequest, RejectRequest
 from locktide.scheduler.config import ServiceClass
+from locktide.scheduler.log_events import RequestRejected
 from locktide.scheduler.policy.repeat_rules import may_reject, repeats_until
 from locktide.scheduler.state import Request, SchedulerState
 
@@ -76,5 +77,11 @@
         if state.now >= self._quiet_until:  # one line in five seconds tells enough of an overload
             self._quiet_until = state.now + 5_000_000
             waited = (state.now - request.arrived_at) // 1000
-            load = f"{len(state.pool)} waiting, {state.in_flight:g} slots out"
-            state.log(f"denying {request.service_class.name} after {waited} ms: {load}")
+            state.log(
+                RequestRejected(
+                    service_class=request.service_class.name,
+                    waited_ms=waited,
+                    waiting=len(state.pool),
+                    slots_in_flight=state.in_flight,
+                )
+            )
--- a/locktide/scheduler/policy/outlier_detection.py
+++ b/locktide/scheduler/policy/outlier_detection.py
@@ -2,8 +2,9 @@
 
 from locktide.scheduler.estimators.beta import draw_beta
 from locktide.scheduler.estimators.decaying_sum import DecayingSum
+from locktide.scheduler.log_events import WorkerSuspected
 from locktide.scheduler.state import Endpoint, Request, SchedulerState
-from locktide.scheduler.types import AttemptOutcome
+from locktide.scheduler.types import SuspicionReason
 
 # Renewals of most ratings since an endpoint's own, that one counted. Two: the next came without it.
 STALE_AFTER = 2
@@ -30,11 +31,11 @@
         # Guards against shunning a worker that has come back: two good ends outweigh one bad.
         endpoint.failures.add(-0.5 * endpoint.failures.read(now), now)
 
-    def record_failure(self, endpoint: Endpoint, reason: str) -> None:
+    def record_failure(self, endpoint: Endpoint, reason: SuspicionReason) -> None:
         """Counts a failure, which makes the endpoint suspected."""
         now = self._state.now
         if not is_suspected(endpoint, now):
-            self._state.log(f"avoiding worker {endpoint.id}: {reason}")
+            self._state.log(WorkerSuspected(endpoint.id, reason))
         # Guards against a long good record that hides a fresh outage: a failure cuts it to a quarter.
         endpoint.successes.add(-0.75 * endpoint.successes.read(now), now)
         endpoint.failures.add(1.0, now)
@@ -47,20 +48,20 @@
         # would be avoided for it. While most errors were found to be requests' own it waits, too.
         now = self._state.now
         if is_suspected(endpoint, now):  # its error says nothing about the request
-            self.record_failure(endpoint, AttemptOutcome.ERROR)
+            self.record_failure(endpoint, SuspicionReason.ERROR)
         elif any([earlier is not endpoint for earlier in request.error_endpoints]):
             request.is_unprocessable, request.error_endpoints = True, []
             self._request_errors.add(1.0, now)
         elif may_retry:
             request.error_endpoints.append(endpoint)
         elif self._request_errors.read(now) <= max(0.5, self._endpoint_errors.read(now)):
-            self.record_failure(endpoint, AttemptOutcome.ERROR)
+            self.record_failure(endpoint, SuspicionReason.ERROR)
 
     def record_recovery(self, request: Request) -> None:
         """The request has ended well: where it had failed before, the endpoints were at fault."""
         for endpoint in request.error_endpoints:
             self._endpoint_errors.add(1.0, self._state.now)
-            self.record_failure(endpoint, AttemptOutcome.ERROR)
+            self.record_failure(endpoint, SuspicionReason.ERROR)
 
     def admits_probe(self, endpoint: Endpoint) -> bool:
         """Whether a suspected endpoint gets one more request, drawn anew at most once a second."""
--- a/locktide/scheduler/state/scheduler_state.py
+++ b/locktide/scheduler/state/scheduler_state.py
@@ -8,12 +8,13 @@
 from traceback import format_exc
 from typing import Any
 
-from locktide.scheduler.commands import Command, LogMessage, ReportInternalError, SetTimer
+from locktide.scheduler.commands import Command, ReportInternalError, SetTimer, WriteLog
 from locktide.scheduler.config import SchedulerConfig, ServiceClass
 from locktide.scheduler.estimators.key_frequencies import KeyFrequencies
 from locktide.scheduler.estimators.random import LinearCongruentialGenerator
 from locktide.scheduler.estimators.run_time import RunTimeEstimator
 from locktide.scheduler.estimators.throughput import ThroughputEstimator
+from locktide.scheduler.log_events import LogEvent
 from locktide.scheduler.state.attempt import Attempt
 from locktide.scheduler.state.endpoint import Endpoint
 from locktide.scheduler.state.request import Request
@@ -82,9 +83,9 @@
         self.throughput.add(attempt.endpoint.worker_type, min(4.0, run_time / usual), self.now)
         self.run_times[request.service_class.name].add(run_time, self.now)
 
-    def log(self, text: str) -> None:
-        """Adds a line to the log."""
-        self.commands.append(LogMessage(text))
+    def log(self, event: LogEvent) -> None:
+        """Write an event to the log."""
+        self.commands.append(WriteLog(event))
 
     def set_timer(self, delay: int, target: Attempt | TimerPurpose) -> None:
         """Asks for a `TimerFired` after `delay` microseconds."""
--- a/locktide/scheduler/types.py
+++ b/locktide/scheduler/types.py
@@ -61,6 +61,18 @@
 )
 
 
+class SuspicionReason(StrEnum):
+    """What makes a worker suspected of being unhealthy."""
+
+    NO_CONNECTION = "no_connection"
+    RESET = "reset"
+    ERROR = "error"
+    NO_START = "no_start"  # an attempt did not start, and nothing else was heard of the worker since
+    NO_PROGRESS = "no_progress"  # a running job stopped reporting
+    SLOW_PROGRESS = "slow_progress"  # a running job is far slower than its class usually is
+    STALE_RATING = "stale_rating"  # its load rating was not renewed while most others were
+
+
 class QuotaCoverage(StrEnum):
     """What of its tenant's quota covers a request."""
 
--- a/tests/bench_adapter/test_wire.py
+++ b/tests/bench_adapter/test_wire.py
@@ -16,13 +16,15 @@
     CloseIdleConnections,
     FailRequest,
     FetchEndpoints,
-    LogMessage,
     RejectRequest,
     ReportInternalError,
     SetTimer,
     StartAttempt,
     WatchEndpoints,
+    WriteLog,
 )
+from locktide.scheduler.log_events import WorkerSuspected
+from locktide.scheduler.types import SuspicionReason
 
 SETTINGS = json.dumps(
     {
@@ -112,7 +114,10 @@
         (CloseIdleConnections("w"), "CLOSE Worker=w"),
         (WatchEndpoints(True), "STREAM_CHANGES Want=1"),
         (FetchEndpoints(), "FETCH"),
-        (LogMessage("two \n words"), "WRITE_LOG Line=two words"),
+        (
+            WriteLog(WorkerSuspected("two \n words", SuspicionReason.RESET)),
+            "WRITE_LOG Line=worker_suspected worker=two words reason=reset",
+        ),
     ],
 )
 def test_each_command_has_its_line(command: object, line: str) -> None:
--- a/tests/durable/test_recovery.py
+++ b/tests/durable/test_recovery.py
@@ -13,7 +13,7 @@
 from locktide.durable.log import records
 from locktide.durable.log.records import AttemptEnded, JobFinished, WriterStarted
 from locktide.durable.recovery import ClockReading, ElapsedBounds, FinishJob, ResumeJob
-from locktide.scheduler.commands import FailRequest, LogMessage, SetTimer, StartAttempt
+from locktide.scheduler.commands import FailRequest, SetTimer, StartAttempt, WriteLog
 from locktide.scheduler.events import EndpointListUpdate, RecoveredAttempt, RequestArrived, RequestRecovered
 from locktide.scheduler.scheduler import Scheduler
 from locktide.scheduler.types import AttemptOutcome, ListUpdateKind
@@ -98,7 +98,7 @@
     for _ in range(20):
         now += 100_000
         commands += scheduler.step(now, [])
-    return [command for command in commands if not isinstance(command, SetTimer | LogMessage)]
+    return [command for command in commands if not isinstance(command, SetTimer | WriteLog)]
 
 
 def earlier_attempt(
--- a/tests/scheduler/test_decisions.py
+++ b/tests/scheduler/test_decisions.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import GRADES, STEP, Checked, listed, terms
 
-from locktide.scheduler.commands import CancelAttempt, FailRequest, LogMessage, StartAttempt, WatchEndpoints
+from locktide.scheduler.commands import CancelAttempt, FailRequest, StartAttempt, WatchEndpoints, WriteLog
 from locktide.scheduler.config import ServiceClass
 from locktide.scheduler.events import (
     AttemptProgressed,
@@ -124,7 +124,7 @@
     service.list(listed("w"))
     service.arrive(1, "cash")
     orders = service.end(1, 0, AttemptOutcome.ERROR)
-    assert [type(order) for order in orders if type(order) is not LogMessage] == [FailRequest]
+    assert [type(order) for order in orders if type(order) is not WriteLog] == [FailRequest]
 
 
 def test_list_is_asked_for_and_asked_again_after_failure() -> None:
--- a/tests/scheduler/test_ratings_and_reload.py
+++ b/tests/scheduler/test_ratings_and_reload.py
@@ -17,11 +17,12 @@
 
 from locktide.dispatcher.requests import arrival_event
 from locktide.protocol import server_connection as clients
-from locktide.scheduler.commands import CancelAttempt, FailRequest, LogMessage, RejectRequest, WatchEndpoints
+from locktide.scheduler.commands import CancelAttempt, FailRequest, RejectRequest, WatchEndpoints, WriteLog
 from locktide.scheduler.config import CostConfig, ServiceClass
 from locktide.scheduler.events import ConfigReloaded, EndpointEntry
+from locktide.scheduler.log_events import WorkerSuspected
 from locktide.scheduler.policy.outlier_detection import is_suspected
-from locktide.scheduler.types import AttemptOutcome, Effect, ListUpdateKind
+from locktide.scheduler.types import AttemptOutcome, Effect, ListUpdateKind, SuspicionReason
 
 # --- ratings that follow load ---------------------------------------------------------------------------
 
@@ -90,7 +91,7 @@
         return {dispatches[0]["worker"] for dispatches in met if dispatches}
 
     assert sent(0) == set(ratings)
-    assert LogMessage("avoiding worker w2: its rating stands still") in renewed("w2")
+    assert WriteLog(WorkerSuspected("w2", SuspicionReason.STALE_RATING)) in renewed("w2")
     assert sent(100) == set(ratings) - {"w2"}
     renewed()
     assert sent(200) == set(ratings)
@@ -259,7 +260,7 @@
     service.list(listed("w0"))
     assert service.dispatches[1]
     assert [
-        type(order) for order in service.end(1, 0, AttemptOutcome.ERROR) if type(order) is not LogMessage
+        type(order) for order in service.end(1, 0, AttemptOutcome.ERROR) if type(order) is not WriteLog
     ] == [FailRequest]
 
 
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -24,12 +24,12 @@
     CloseIdleConnections,
     FailRequest,
     FetchEndpoints,
-    LogMessage,
     RejectRequest,
     ReportInternalError,
     SetTimer,
     StartAttempt,
     WatchEndpoints,
+    WriteLog,
 )
 from locktide.scheduler.config import (
     ClientConfig,
@@ -85,7 +85,7 @@
     WatchEndpoints: Rendering("watch", ("enabled",)),
     FetchEndpoints: Rendering("fetch", ()),
     ReportInternalError: Rendering("internal-error", ("request_id",)),  # without the traceback's text
-    LogMessage: Rendering("log", ()),  # without its text
+    WriteLog: Rendering("log", ()),  # without its event
 }
 NEVER_ORDERED = {"fetch"}  # no rule orders it
 
@@ -1010,7 +1010,7 @@
         if isinstance(one, type) and one.__module__ == command_module.__name__
     }
     assert set(COMMANDS) == defined
-    left_out = {LogMessage: {"text"}, ReportInternalError: {"detail"}}
+    left_out = {WriteLog: {"event"}, ReportInternalError: {"detail"}}
     for one, rendering in COMMANDS.items():
         names = {attribute.name for attribute in fields(one)}
         assert set(rendering.attributes) == names - left_out.get(one, set())
