--- a/locktide/config/installation.py
+++ b/locktide/config/installation.py
@@ -11,13 +11,14 @@
 
 import msgspec
 
-from locktide.config import settings, typed
+from locktide.config import typed
 from locktide.config.accord import Accord, accord_faults
 from locktide.config.checks import ConfigError, Table
 from locktide.config.start import Start, from_table
 from locktide.config.typed import ConfigErrors, Section, key, seconds
 
-EFFECTS: dict[str, str] = {effect: name for name, effect in settings.EFFECTS.items()}
+# Spelling of an effect in a TOML file, and in the platform's JSON.
+EFFECTS = {"reissuable": "free", "numbered": "guarded", "at-most-once": "single_shot"}
 GROUPS = {"everyone": "all", "zone": "zone", "cell": "cell"}
 
 PLACE = r"^[^\s]+:[0-9]{1,5}$"
--- a/locktide/scheduler/types.py
+++ b/locktide/scheduler/types.py
@@ -15,17 +15,17 @@
 class Effect(StrEnum):
     """How far a request of a service class may be repeated."""
 
-    IDEMPOTENT = "reissuable"
-    IDEMPOTENT_WITH_KEY = "numbered"  # repeats are dropped within a scope and a time window
-    AT_MOST_ONCE = "at-most-once"
+    IDEMPOTENT = "idempotent"
+    IDEMPOTENT_WITH_KEY = "idempotent with key"  # repeats are dropped within a scope and a time window
+    AT_MOST_ONCE = "at most once"
 
 
 class DeduplicationScope(StrEnum):
     """Which workers drop a repeat of a request that carries an idempotency key."""
 
-    FLEET = "everyone"
-    ZONE = "same zone"
-    CELL = "same cell"
+    FLEET = "fleet"
+    ZONE = "zone"
+    CELL = "cell"
 
 
 class AttemptOutcome(StrEnum):
@@ -84,11 +84,11 @@
 class ListUpdateKind(StrEnum):
     """What an update of the endpoint list carries."""
 
-    SNAPSHOT = "whole"
-    DELTA = "changes"
-    CACHED = "remembered"  # the list as this dispatcher last had it, from before its start
-    FETCH_FAILED = "failed"  # the service turned a call away
-    FETCH_TIMED_OUT = "silent"  # the service did not answer: the call was not received
+    SNAPSHOT = "snapshot"
+    DELTA = "delta"
+    CACHED = "cached"  # the list as this dispatcher last had it, from before its start
+    FETCH_FAILED = "fetch failed"  # the service rejected the call
+    FETCH_TIMED_OUT = "fetch timed out"  # the service did not respond: the call was not received
 
 
 class EndpointState(StrEnum):
