--- a/locktide/durable/jobs.py
+++ b/locktide/durable/jobs.py
@@ -16,6 +16,7 @@
     SnapshotComplete,
     WriterStarted,
 )
+from locktide.durable.log.stored_outcomes import decode_outcome
 from locktide.scheduler.types import PROVEN_NOT_RUN
 
 
@@ -79,7 +80,7 @@
         """Whether a worker may have run it."""
         return any(
             lease.fence not in self.ended_attempts
-            or self.ended_attempts[lease.fence].outcome not in PROVEN_NOT_RUN
+            or decode_outcome(self.ended_attempts[lease.fence].outcome) not in PROVEN_NOT_RUN
             for lease in self.leases
         )
 
--- a/locktide/durable/late_reports.py
+++ b/locktide/durable/late_reports.py
@@ -9,6 +9,7 @@
 from locktide.durable.job_context import JobContext
 from locktide.durable.jobs import Job, JobState
 from locktide.durable.log.records import LateReport
+from locktide.durable.log.stored_outcomes import encode_outcome
 from locktide.durable.log.write_ahead_log import wait_or_lose
 from locktide.protocol.server_connection import Callback
 from locktide.scheduler.types import AttemptOutcome
@@ -61,4 +62,6 @@
     if job.state is JobState.DONE and callback.outcome == AttemptOutcome.DONE and fence == job.fence:
         return True  # the report that made the job done, once more: its final response says so
     ended = job.ended_attempts.get(fence)
-    return ended is not None and ended.outcome == callback.outcome
+    if ended is None or callback.outcome is None:
+        return False
+    return ended.outcome == encode_outcome(callback.outcome)
--- a/locktide/durable/lease_service.py
+++ b/locktide/durable/lease_service.py
@@ -14,6 +14,7 @@
 from locktide.durable.leases import LeaseAnswer, WorkerReport
 from locktide.durable.log.crash_point import CrashPoint
 from locktide.durable.log.records import AttemptEnded, LeaseGranted
+from locktide.durable.log.stored_outcomes import encode_outcome
 from locktide.durable.log.write_ahead_log import wait_or_lose
 from locktide.protocol import names
 from locktide.protocol.server_connection import Callback
@@ -51,7 +52,8 @@
         except LogWriteError as error:
             # No byte of it was sent, whatever the disk holds: it is ended in memory.
             self.leases.end(job_id, lease.fence)
-            self.state.table.apply(AttemptEnded(job_id, lease.fence, AttemptOutcome.NEVER_SENT, now))
+            never_sent = encode_outcome(AttemptOutcome.NEVER_SENT)
+            self.state.table.apply(AttemptEnded(job_id, lease.fence, never_sent, now))
             self.log.emit(f"jobs: no lease: {error}", event="lease_write_failed", error=str(error))
             return False
         self.write_ahead_log.reach_crash_point(CrashPoint.LEASE_WRITTEN)
@@ -64,7 +66,8 @@
         self.leases.end(job_id, attempt.fence)
         if attempt.outcome == AttemptOutcome.DONE:
             return  # the job's final response says so
-        record = AttemptEnded(job_id, attempt.fence, attempt.outcome, self.dispatcher.now())
+        outcome = encode_outcome(AttemptOutcome(attempt.outcome))
+        record = AttemptEnded(job_id, attempt.fence, outcome, self.dispatcher.now())
         self.tasks.spawn(wait_or_lose(self.write_ahead_log.append(record)))
 
     def handle_callback(self, job: Job, callback: Callback) -> Awaitable[None] | None:
--- a/locktide/durable/log/records.py
+++ b/locktide/durable/log/records.py
@@ -8,6 +8,8 @@
 
 import msgspec
 
+from locktide.durable.log.stored_outcomes import StoredOutcome
+
 
 class Record(msgspec.Struct, array_like=True):
     """Base of all records."""
@@ -54,7 +56,7 @@
 
     job_id: str
     fence: int
-    outcome: str
+    outcome: StoredOutcome
     recorded_at: int
 
 
--- a/locktide/durable/recovery.py
+++ b/locktide/durable/recovery.py
@@ -7,6 +7,7 @@
 from locktide.durable.jobs import Job, JobTable
 from locktide.durable.leases import Lease, LeaseTable
 from locktide.durable.log.records import LeaseGranted, WriterStarted
+from locktide.durable.log.stored_outcomes import decode_outcome
 from locktide.scheduler.events import RecoveredAttempt
 
 DENIED_STATUS = 503
@@ -89,7 +90,7 @@
         step = ResumeJob(job, deadline, [], [])
         for index, granted in enumerate(job.leases):
             ended = job.ended_attempts.get(granted.fence)
-            outcome = ended.outcome if ended else None
+            outcome = decode_outcome(ended.outcome) if ended else None
             if outcome is None:
                 _take_over_lease(granted, leases, offset, deadline, now)
                 step.pending.append(index)
--- a/tests/durable/test_recovery.py
+++ b/tests/durable/test_recovery.py
@@ -12,6 +12,7 @@
 from locktide.durable.leases import LeaseConfig, LeaseTable
 from locktide.durable.log import records
 from locktide.durable.log.records import AttemptEnded, JobFinished, WriterStarted
+from locktide.durable.log.stored_outcomes import STORED_OUTCOMES
 from locktide.durable.recovery import ClockReading, ElapsedBounds, FinishJob, ResumeJob
 from locktide.scheduler.commands import FailRequest, SetTimer, StartAttempt, WriteLog
 from locktide.scheduler.events import EndpointListUpdate, RecoveredAttempt, RequestArrived, RequestRecovered
@@ -58,7 +59,7 @@
         accepted_job("done", 1003 * SECOND),
         granted_lease("old", at=1004 * SECOND, until=1020 * SECOND),
         granted_lease("ran", at=1004 * SECOND),
-        AttemptEnded("ran", 1, AttemptOutcome.RESET, 1006 * SECOND),
+        AttemptEnded("ran", 1, STORED_OUTCOMES[AttemptOutcome.RESET], 1006 * SECOND),
         granted_lease("gone and ran", at=1004 * SECOND),
         JobFinished("done", 200, b"", 0, 1006 * SECOND),
     )
@@ -79,7 +80,7 @@
         WRITER,
         accepted_job("a", 1001 * SECOND),
         granted_lease("a", at=1002 * SECOND),
-        AttemptEnded("a", 1, AttemptOutcome.RESET, 1003 * SECOND),
+        AttemptEnded("a", 1, STORED_OUTCOMES[AttemptOutcome.RESET], 1003 * SECOND),
     )
     (step,) = recovery.plan(
         table, LeaseTable(LEASE_CONFIG), ElapsedBounds(0, recovery.UNKNOWN_SPAN), 5000 * SECOND
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -25,6 +25,7 @@
 from locktide.durable.leases import LeaseConfig, LeaseTable
 from locktide.durable.log import framing, records
 from locktide.durable.log.reader import read_log, segment_name
+from locktide.durable.log.stored_outcomes import STORED_OUTCOMES
 from locktide.durable.log.write_ahead_log import WriteAheadLog
 from locktide.scheduler.types import PROVEN_NOT_RUN, AttemptOutcome
 
@@ -639,7 +640,7 @@
 
 
 def test_outcomes_are_stored_in_the_same_words() -> None:
-    assert [
+    outcomes = [
         AttemptOutcome.ERROR,
         AttemptOutcome.FULL,
         AttemptOutcome.TIMED_OUT,
@@ -649,7 +650,8 @@
         AttemptOutcome.NEVER_SENT,
         AttemptOutcome.UNPROCESSABLE,
         AttemptOutcome.CONNECTION_CLOSED,
-    ] == [
+    ]
+    assert [STORED_OUTCOMES[outcome] for outcome in outcomes] == [
         "error",
         "full",
         "timed out",
@@ -660,7 +662,8 @@
         "unfit",
         "cut off",
     ]
-    assert PROVEN_NOT_RUN == {"full", "no connection", "never sent", "unfit"}
+    proven_not_run = {STORED_OUTCOMES[outcome] for outcome in PROVEN_NOT_RUN}
+    assert proven_not_run == {"full", "no connection", "never sent", "unfit"}
 
 
 def test_a_stored_job_is_exported_under_the_same_keys(stored: Path) -> None:
