--- a/locktide/scheduler/types.py
+++ b/locktide/scheduler/types.py
@@ -37,11 +37,11 @@
     TIMED_OUT = "timed out"
     NO_CONNECTION = "no connection"
     RESET = "reset"
-    CANCELLED = "withdrawn"
+    CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
-    UNPROCESSABLE = "unfit"  # the worker rejected the request itself: any other worker would, too
+    UNPROCESSABLE = "unprocessable"  # the worker rejected the request itself: any other worker would, too
     # An idle connection broke without a word, most likely closed as idle, or the worker has restarted since.
-    CONNECTION_CLOSED = "cut off"
+    CONNECTION_CLOSED = "connection closed"
 
 
 # Outcomes after which the request is certain not to have run on the worker.
