--- a/locktide/__main__.py
+++ b/locktide/__main__.py
@@ -6,8 +6,8 @@
 import os
 import sys
 
-from locktide.config import start
-from locktide.config.checks import ConfigError
+from locktide.config.errors import ConfigError
+from locktide.config.start import read_start
 from locktide.dispatcher.service import hold_back_reload, serve
 from locktide.protocol import discovery
 from locktide.transport.log import Log
@@ -16,13 +16,13 @@
 def main() -> int:
     hold_back_reload()
     try:
-        told = start.read(os.environ)
+        told = read_start(os.environ)
         known = discovery.read(told.cached_endpoints, "known")
     except ConfigError as trouble:
         print(f"locktide: {trouble}", file=sys.stderr)
         return 2
     try:
-        asyncio.run(serve(told, known, Log(told.name), lambda: start.read(os.environ, again=True)))
+        asyncio.run(serve(told, known, Log(told.name), lambda: read_start(os.environ, is_reload=True)))
     except OSError as trouble:
         print(f"locktide: listen: {trouble}", file=sys.stderr)
         return 1
--- a/locktide/bench_adapter/wire.py
+++ b/locktide/bench_adapter/wire.py
@@ -7,7 +7,8 @@
 from typing import Any, TypeVar
 
 from locktide.config import settings
-from locktide.config.checks import ConfigError, Table
+from locktide.config.errors import ConfigError
+from locktide.config.json_reader import JsonObject
 from locktide.scheduler.commands import (
     CancelAttempt,
     CloseIdleConnections,
@@ -226,6 +227,6 @@
 def scheduler_config(text: str) -> SchedulerConfig:
     """Reads the configuration of the scheduler out of the settings of a SPAWN line."""
     try:
-        return settings.scheduler_config(Table(json.loads(text), "Config"))
+        return settings.scheduler_config(JsonObject(json.loads(text), "Config"))
     except (ConfigError, ValueError) as trouble:
         raise Malformed(f"expected settings as on the wire page: {trouble}") from None
--- a/locktide/cli/check.py
+++ b/locktide/cli/check.py
@@ -9,8 +9,10 @@
 import msgspec
 
 from locktide.cli.faulty import refuse
-from locktide.config import installation, typed
-from locktide.config.typed import ConfigErrors
+from locktide.config.errors import ConfigError, ConfigFileError
+from locktide.config.installation.document import Installation
+from locktide.config.installation.loading import load_installation
+from locktide.config.toml_reader import describe_keys
 from locktide.simulation.model import scenario as script
 
 
@@ -20,11 +22,19 @@
         keys = set(tomllib.loads(path.read_text(encoding="utf-8")))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError):
         return "installation"  # whose reader tells what is wrong
-    ours = {field.encode_name for field in msgspec.structs.fields(installation.Installation)}
+    ours = {field.encode_name for field in msgspec.structs.fields(Installation)}
     theirs = {field.encode_name for field in msgspec.structs.fields(script.Scenario)}
     return "rehearsal" if len(keys & theirs - ours) > len(keys & ours - theirs) else "installation"
 
 
+def with_path(error: ConfigError, path: Path) -> ConfigError:
+    """The fault with the file before its key, where it does not begin with the file already."""
+    text = str(error)
+    if text.startswith(str(path)):
+        return error
+    return ConfigError(str(path), text, expected=error.expected, value=error.value)
+
+
 @click.command()
 @click.argument("files", nargs=-1, type=click.Path(path_type=Path))
 @click.option(
@@ -41,25 +51,25 @@
     Names every fault of every file, as part.key: what was expected, what was found; exit code 2 for any.
     """
     if keys:
-        of: type[msgspec.Struct] = installation.Installation
+        of: type[msgspec.Struct] = Installation
         if kind == "rehearsal":
             of = script.Scenario
-        for key, default, says in typed.keys(of):
-            click.echo(f"{key:32} {default:24} {says}")
+        for key in describe_keys(of):
+            click.echo(f"{key.path:32} {key.default:24} {key.description}")
         return
     if not files:
         raise click.UsageError("name at least one file, or --keys")
-    faults: list[str] = []
+    faults: list[ConfigError] = []
     for path in files:
         chosen = kind_of(path) if kind == "auto" else kind
         try:
             if chosen == "rehearsal":
                 script.load(path)
             else:
-                installation.load(path)
-        except ConfigErrors as found:
-            faults += [line if line.startswith(str(path)) else f"{path}: {line}" for line in found.lines]
+                load_installation(path)
+        except ConfigFileError as found:
+            faults += [with_path(error, path) for error in found.errors]
         else:
             click.echo(f"{path}: good ({chosen})")
     if faults:
-        refuse(ConfigErrors(faults))
+        refuse(ConfigFileError(faults))
--- a/locktide/cli/cluster.py
+++ b/locktide/cli/cluster.py
@@ -8,8 +8,8 @@
 
 import click
 
-from locktide.config.checks import ConfigError
-from locktide.config.start import address as parsed
+from locktide.config.address import parse_address
+from locktide.config.errors import ConfigError
 
 
 @click.group()
@@ -25,7 +25,7 @@
     from locktide.cluster.inspection_client import inspect_member  # noqa: PLC0415
 
     try:
-        seen = asyncio.run(inspect_member(parsed("ADDRESS", address)))
+        seen = asyncio.run(inspect_member(parse_address("ADDRESS", address)))
     except ConfigError as trouble:
         raise click.BadParameter(str(trouble)) from None
     except (OSError, TimeoutError, ValueError) as trouble:
--- a/locktide/cli/faulty.py
+++ b/locktide/cli/faulty.py
@@ -5,10 +5,10 @@
 import sys
 from typing import NoReturn
 
-from locktide.config.typed import ConfigErrors
+from locktide.config.errors import ConfigFileError
 
 
-def refuse(faults: ConfigErrors, where: str = "") -> NoReturn:
+def refuse(faults: ConfigFileError, where: str = "") -> NoReturn:
     for line in faults.lines:
         print(f"locktide: {where + ': ' if where else ''}{line}", file=sys.stderr)
     sys.exit(2)
--- a/locktide/cli/serve.py
+++ b/locktide/cli/serve.py
@@ -12,10 +12,11 @@
 
 from locktide.cli.faulty import refuse
 from locktide.cli.logs import FORMATS, Structured
-from locktide.config import installation
-from locktide.config.checks import ConfigError
+from locktide.config.errors import ConfigError, ConfigFileError
+from locktide.config.installation.document import Installation
+from locktide.config.installation.loading import load_installation
+from locktide.config.installation.start import start_from_installation
 from locktide.config.start import Start
-from locktide.config.typed import ConfigErrors
 from locktide.dispatcher.dispatcher import Dispatcher
 from locktide.dispatcher.service import AttachedService, hold_back_reload
 from locktide.dispatcher.service import serve as run
@@ -27,12 +28,10 @@
     """A part does not start; the text begins with its key."""
 
 
-def parts(
-    told: installation.Installation, log: Log
-) -> list[Callable[[Dispatcher], Awaitable[AttachedService]]]:
+def parts(told: Installation, log: Log) -> list[Callable[[Dispatcher], Awaitable[AttachedService]]]:
     """What the file switches on; a part that is off is not even imported."""
     found: list[Callable[[Dispatcher], Awaitable[AttachedService]]] = []
-    if told.accord.on:
+    if told.cluster.enabled:
         from locktide.cluster.bootstrap import join  # noqa: PLC0415
 
         async def accord(node: Dispatcher) -> AttachedService:
@@ -42,14 +41,14 @@
                 raise Refused(f"accord.listen: {trouble}") from None
 
         found.append(accord)
-    if not told.durable.on:
+    if not told.durable_jobs.enabled:
         return found
     from locktide.durable.bootstrap import attach_job_service
     from locktide.durable.errors import LogOpenError
 
     async def durable(node: Dispatcher) -> AttachedService:
         try:
-            return await attach_job_service(node, told.durable, log)
+            return await attach_job_service(node, told.durable_jobs, log)
         except (LogOpenError, OSError) as trouble:
             raise Refused(f"durable.directory: {trouble}") from None
 
@@ -63,18 +62,18 @@
     """Run one dispatcher by an installation's FILE, until SIGTERM. SIGHUP reads the file's roster anew."""
     hold_back_reload()
     try:
-        told = installation.load(file)
-        begun = installation.start(told, secrets.randbits(62))
+        told = load_installation(file)
+        begun = start_from_installation(told, secrets.randbits(62))
         known = discovery.read(begun.cached_endpoints, "known")
-    except ConfigErrors as faults:
+    except ConfigFileError as faults:
         refuse(faults, str(file))
     except ConfigError as trouble:
-        refuse(ConfigErrors([str(trouble)]), str(file))
+        refuse(ConfigFileError([trouble]), str(file))
 
     def again() -> Start:
         try:
-            return installation.start(installation.load(file), 0)
-        except ConfigErrors as faults:
+            return start_from_installation(load_installation(file), 0)
+        except ConfigFileError as faults:
             raise ConfigError(str(file), "; ".join(faults.lines)) from None
 
     log = Structured(begun.name, log_format or told.log.format)
--- a/locktide/cli/simulate.py
+++ b/locktide/cli/simulate.py
@@ -22,7 +22,7 @@
 from rich.table import Table
 
 from locktide.cli.faulty import refuse
-from locktide.config.typed import ConfigErrors
+from locktide.config.errors import ConfigError, ConfigFileError
 from locktide.simulation import compare, plots
 from locktide.simulation import tables as table
 from locktide.simulation.model import random_scenario as rough
@@ -202,7 +202,7 @@
         chosen = None if drawn else script.load(file) if file else script.embedded()
         first = Side(file.stem if file else "rough" if drawn else "overlap", chosen, program, durable)
         second = other_side(first, against)
-    except ConfigErrors as faults:
+    except ConfigFileError as faults:
         refuse(faults, str(file or ""))
     if drawn and file:
         raise click.UsageError("--random takes no FILE")
@@ -229,9 +229,8 @@
         return None
     if against.is_dir():
         if not (against / "locktide" / "__main__.py").exists():
-            raise ConfigErrors(
-                [f"--against: expected a script or a checkout of locktide, found {str(against)!r}"]
-            )
+            expected, found = "a script or a checkout of locktide", repr(str(against))
+            raise ConfigFileError([ConfigError.mismatch("--against", expected=expected, found=found)])
         return Side(against.resolve().name, first.script, against.resolve())
     return Side(against.stem, script.load(against), first.program)
 
--- a/locktide/cluster/bootstrap.py
+++ b/locktide/cluster/bootstrap.py
@@ -13,8 +13,8 @@
 from locktide.cluster.quota.local_quota import QuotaSpec
 from locktide.cluster.reporting import Log
 from locktide.cluster.udp_transport import UdpTransport, open_udp_transport
-from locktide.config.installation import Installation
-from locktide.config.start import address
+from locktide.config.address import parse_address
+from locktide.config.installation.document import Installation
 
 RANDOM_SEED_BITS = 60
 THOUSANDTHS = 1000
@@ -30,24 +30,26 @@
     Raises:
         ConfigError: an address is malformed.
     """
-    accord = installation.accord
-    acceptors = {elector.name: address("accord.electors", elector.address) for elector in accord.electors}
-    seeds = [address("accord.seeds", seed) for seed in accord.seeds]
-    own_address = address("accord.reach", accord.reach or accord.listen)
+    cluster = installation.cluster
+    acceptors = {
+        acceptor.name: parse_address("accord.electors", acceptor.address) for acceptor in cluster.acceptors
+    }
+    seeds = [parse_address("accord.seeds", seed) for seed in cluster.seeds]
+    own_address = parse_address("accord.reach", cluster.reachable_address)
     return ClusterConfig(
         member_id=(installation.serve.name, time.time_ns() // 1000),
         address=own_address,
         acceptors=acceptors,
         seeds=[seed for seed in [*acceptors.values(), *seeds] if seed != own_address],
         quotas=[
-            QuotaSpec(tenant.name, tenant.rate, tenant.rate * accord.burst, True)
-            for tenant in installation.tenant
+            QuotaSpec(tenant.name, tenant.rate, tenant.rate * cluster.burst, True)
+            for tenant in installation.tenants
         ],
-        reserved_fraction=accord.reserve,
-        max_members=accord.most,
+        reserved_fraction=cluster.reserved_fraction,
+        max_members=cluster.max_members,
         random_seed=secrets.randbits(RANDOM_SEED_BITS),
-        lendable_fraction=accord.lend,
-        fairness=fairness_config(installation) if accord.resource else None,
+        lendable_fraction=cluster.lendable_fraction,
+        fairness=fairness_config(installation) if cluster.resources else None,
     )
 
 
@@ -56,19 +58,23 @@
 
     A job may run until its time limit, and its cancellation is tried no longer.
     """
-    resources = installation.accord.resource
-    longest = max(grade.limit for grade in installation.grade) + LEDGER_MARGIN
-    weights = {tenant.name: max(1, round(THOUSANDTHS * tenant.weight)) for tenant in installation.tenant}
+    resources = installation.cluster.resources
+    service_classes = installation.service_classes
+    max_job_time = max(service_class.timeout for service_class in service_classes) + LEDGER_MARGIN
+    weights = {tenant.name: max(1, round(THOUSANDTHS * tenant.weight)) for tenant in installation.tenants}
     needs = {
-        grade.name: [round(THOUSANDTHS * grade.holds.get(resource.name, 0.0)) for resource in resources]
-        for grade in installation.grade
+        service_class.name: [
+            round(THOUSANDTHS * service_class.resource_needs.get(resource.name, 0.0))
+            for resource in resources
+        ]
+        for service_class in service_classes
     }
     return FairnessConfig(
         [resource.name for resource in resources],
         weights,
         needs,
-        [round(THOUSANDTHS * resource.each) for resource in resources],
-        round(longest * 1e6),
+        [round(THOUSANDTHS * resource.worker_capacity) for resource in resources],
+        round(max_job_time * 1e6),
     )
 
 
@@ -86,6 +92,6 @@
         ConfigError: an address is malformed.
         OSError: the address cannot be bound, or the trace cannot be opened.
     """
-    trace = open_trace(installation.accord.trace)
-    listen = address("accord.listen", installation.accord.listen)
+    trace = open_trace(installation.cluster.trace)
+    listen = parse_address("accord.listen", installation.cluster.listen)
     return await open_udp_transport(cluster_config(installation), log, event_source, listen, trace)
--- /dev/null
+++ b/locktide/config/installation/attempts.py
@@ -0,0 +1,32 @@
+"""`[dispatches]`: attempts of requests at workers."""
+
+from __future__ import annotations
+
+from typing import Annotated
+
+import msgspec
+
+from locktide.config.toml_reader import Section, key, seconds
+
+
+class AttemptsSection(Section):
+    """`[dispatches]`: how often and how requests are sent to workers; times are in seconds."""
+
+    max_attempts: Annotated[int, key("of one submission", ge=1, le=100)] = msgspec.field(
+        name="most", default=4
+    )
+    can_cancel: Annotated[bool, key("whether workers take withdrawals")] = msgspec.field(
+        name="may_withdraw", default=True
+    )
+    connect_timeout: Annotated[float, seconds("until a connection to a worker has failed", gt=0)] = (
+        msgspec.field(name="connect", default=0.25)
+    )
+    idle_timeout: Annotated[float, seconds("after which workers close idle connections", gt=0)] = (
+        msgspec.field(name="idle", default=15.0)
+    )
+    max_retry_after: Annotated[float, seconds("the longest Retry-After; 0 for none")] = msgspec.field(
+        name="longest_advice", default=2.0
+    )
+    round_interval: Annotated[float, seconds("between two rounds of the pool", gt=0)] = msgspec.field(
+        name="round", default=0.004
+    )
--- /dev/null
+++ b/locktide/config/installation/dispatcher.py
@@ -0,0 +1,45 @@
+"""Sections about the dispatcher itself: `[serve]`, `[limits]` and `[log]`."""
+
+from __future__ import annotations
+
+from typing import Annotated, Literal
+
+import msgspec
+
+from locktide.config.installation.spellings import ADDRESS_PATTERN, ANY_PATTERN, NOT_EMPTY_PATTERN
+from locktide.config.toml_reader import Section, key, seconds
+
+
+class ServeSection(Section):
+    """`[serve]`: name and addresses of the dispatcher; `poll_within` is in seconds."""
+
+    name: Annotated[str, key("of this dispatcher, the same after a restart", pattern=NOT_EMPTY_PATTERN)] = (
+        "locktide"
+    )
+    listen: Annotated[
+        str, key("HOST:PORT where clients hand in and workers call back", pattern=ADDRESS_PATTERN)
+    ] = "127.0.0.1:7070"
+    discovery: Annotated[str, key("HOST:PORT of the worker list", pattern=ADDRESS_PATTERN)] = msgspec.field(
+        name="roster", default="127.0.0.1:8500"
+    )
+    seed: Annotated[int, key("of chance; 0 for a new one at each start", ge=0, lt=2**62)] = 0
+    zone: Annotated[str, key("data centre of this dispatcher", pattern=ANY_PATTERN)] = ""
+    polled: Annotated[bool, key("whether calls to the roster are work for others, and made sparingly")] = (
+        msgspec.field(name="ask", default=False)
+    )
+    poll_within: Annotated[float, seconds("within which each dispatcher should then ask", gt=0)] = (
+        msgspec.field(name="ask_within", default=10.0)
+    )
+
+
+class LimitsSection(Section):
+    """`[limits]`: resources of the process; memory is in MiB."""
+
+    descriptors: Annotated[int, key("file descriptors that it may hold", ge=32)] = 1024
+    memory_mb: Annotated[int, key("megabytes it may take", ge=24)] = 192
+
+
+class LogSection(Section):
+    """`[log]`: how the log is written."""
+
+    format: Annotated[Literal["text", "json"], key("how lines are written to standard error")] = "text"
--- a/locktide/config/start.py
+++ b/locktide/config/start.py
@@ -1,80 +1,139 @@
-"""What one real dispatcher is told at start: the GW_* variables and the JSON that GW_CONFIG names."""
+"""Reads what one dispatcher starts with: the GW_* variables and the JSON file that GW_CONFIG names."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Mapping
 from dataclasses import dataclass
+from pathlib import Path
 from typing import Any
 
-from locktide.config.checks import ConfigError, Table
+from locktide.config.address import Address, parse_address
+from locktide.config.errors import ConfigError
+from locktide.config.json_reader import JsonObject
+from locktide.config.platform_keys import (
+    CeilingsKey,
+    EndpointListKey,
+    LimitsKey,
+    SettingsKey,
+    StartKey,
+    Variable,
+)
 from locktide.config.settings import scheduler_config
 from locktide.scheduler.config import SchedulerConfig
 
-Address = tuple[str, int]
+#: Open file descriptors where the start file gives no limit, and the fewest that a dispatcher can run with.
+DEFAULT_DESCRIPTORS = 1024
+MIN_DESCRIPTORS = 32
+#: The same for its memory, in MiB.
+DEFAULT_MEMORY_MEGABYTES = 2048
+MIN_MEMORY_MEGABYTES = 24
+BYTES_PER_MEGABYTE = 1 << 20
+#: Time to connect to a worker, and idle time after which workers close a connection, in milliseconds.
+DEFAULT_CONNECT_TIMEOUT = 250.0
+DEFAULT_IDLE_TIMEOUT = 15_000.0
+#: Base of the digits of `seed`.
+SEED_BASE = 16
 
 
 @dataclass(slots=True)
 class Start:
+    """What one dispatcher starts with.
+
+    Attributes:
+        name: the name of the dispatcher, the same after a restart.
+        listen: where clients and workers connect.
+        discovery: where the discovery service listens.
+        seed: the seed of all random draws.
+        descriptors: how many file descriptors the process may have open.
+        memory: how much memory the process may take, in bytes.
+        cached_endpoints: the endpoint list of before the start, decoded, in the form of discovery.
+        connect_within: how long connecting to a worker may take, in microseconds.
+        idle_close: after what idle time workers close a connection, in microseconds.
+        scheduler_config: the configuration of the scheduler.
+    """
+
     name: str
     listen: Address
     discovery: Address
     seed: int
     descriptors: int
-    memory: int  # bytes
-    cached_endpoints: Any  # the remembered list, in discovery's form
+    memory: int
+    cached_endpoints: Any
     connect_within: int
-    idle_close: int  # workers close connections that stood idle so long
+    idle_close: int
     scheduler_config: SchedulerConfig
 
 
-def address(key: str, text: str) -> Address:
-    host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigError(key, f"expected HOST:PORT, not {text!r:.60}")
-    return host.strip("[]"), int(port)
-
-
-def spelled(at: Address) -> str:
-    return f"{at[0]}:{at[1]}"
+def read_start(environment: Mapping[str, str], *, is_reload: bool = False) -> Start:
+    """Read the start file that the environment names.
 
+    A variable that is set takes precedence over the file. At a reload the address of discovery is the file's.
 
-def read(environment: Mapping[str, str], again: bool = False) -> Start:
-    """A variable that is set goes before the same thing in the JSON; read again, discovery is the JSON's."""
-    path = environment.get("GW_CONFIG")
+    Raises:
+        ConfigError: the file cannot be read, or a key is missing or has a value that it may not have.
+    """
+    path = environment.get(Variable.CONFIG_FILE)
     if not path:
-        raise ConfigError("GW_CONFIG", "is not set")
+        raise ConfigError(Variable.CONFIG_FILE, "is not set")
     try:
-        with open(path, encoding="utf-8") as source:
-            whole = Table(json.load(source))
-    except (OSError, ValueError) as trouble:
-        raise ConfigError("GW_CONFIG", f"{path}: {trouble}") from None
-    return from_table(whole, environment, again)
+        document = json.loads(Path(path).read_text(encoding="utf-8"))
+    except (OSError, ValueError) as error:
+        raise ConfigError(Variable.CONFIG_FILE, f"{path}: {error}", value=path) from error
+    return start_from_document(JsonObject(document), environment, is_reload=is_reload)
+
+
+def start_from_document(
+    document: JsonObject, environment: Mapping[str, str], *, is_reload: bool = False
+) -> Start:
+    """Return the start by a start file that is decoded already; otherwise as `read_start`."""
+    limits = document.object(StartKey.LIMITS, {})
+    settings = document.object(StartKey.SETTINGS)
+    ceilings = settings.object(SettingsKey.CEILINGS, {})
+    seed = _read_seed(document)
+    discovery_environment = {} if is_reload else environment
+    return Start(
+        name=environment.get(Variable.NAME) or document.text(StartKey.NAME),
+        listen=_read_address(document, StartKey.LISTEN, environment, Variable.LISTEN),
+        discovery=_read_address(document, StartKey.DISCOVERY, discovery_environment, Variable.DISCOVERY),
+        seed=seed,
+        descriptors=limits.integer(LimitsKey.DESCRIPTORS, DEFAULT_DESCRIPTORS, minimum=MIN_DESCRIPTORS),
+        memory=_read_memory(limits),
+        cached_endpoints=document.object(StartKey.CACHED_ENDPOINTS, endpoint_list([])).raw,
+        connect_within=ceilings.microseconds(CeilingsKey.CONNECT_TIMEOUT, DEFAULT_CONNECT_TIMEOUT),
+        idle_close=ceilings.microseconds(CeilingsKey.IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT),
+        scheduler_config=scheduler_config(settings),
+    )
 
 
-def from_table(whole: Table, environment: Mapping[str, str], again: bool = False) -> Start:
-    """The same from JSON that is read already."""
-    limits, told = whole.table("limits", {}), whole.table("settings")
-    ceilings = told.table("Ceilings", {})
+def endpoint_list(endpoints: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return the snapshot of an endpoint list with these entries, in the form of a start file."""
+    return {
+        EndpointListKey.VERSION: 0,
+        EndpointListKey.IS_SNAPSHOT: True,
+        EndpointListKey.ENDPOINTS: endpoints,
+    }
 
-    def place(variable: str, name: str) -> Address:
-        text = environment.get(variable)
-        return address(variable, text) if text else address(name, whole.text(name))
 
-    seed = whole.text("seed", "0")
+def _read_address(document: JsonObject, key: str, environment: Mapping[str, str], variable: str) -> Address:
+    """Return an address of the start file, or that of the variable where it is set."""
+    text = environment.get(variable)
+    if text:
+        return parse_address(variable, text)
+    return parse_address(key, document.text(key))
+
+
+def _read_seed(document: JsonObject) -> int:
+    text = document.text(StartKey.SEED, "0")
     try:
-        number = int(seed, 16)
-    except ValueError:
-        raise ConfigError("seed", f"expected a hexadecimal number, not {seed!r:.40}") from None
-    return Start(
-        environment.get("GW_NAME") or whole.text("name"),
-        place("GW_LISTEN", "listen"),
-        address("discovery", whole.text("discovery")) if again else place("GW_DISCOVERY", "discovery"),
-        number,
-        limits.whole("sockets", 1024, least=32),
-        limits.whole("memory_mb", 2048, least=24) << 20,
-        whole.table("known", {"rev": 0, "all": True, "targets": []}).raw,
-        ceilings.span("ConnectTimeout", 250.0),
-        ceilings.span("IdleClose", 15000.0),
-        scheduler_config(told),
+        return int(text, SEED_BASE)
+    except ValueError as error:
+        raise ConfigError.unexpected(StartKey.SEED, expected="a hexadecimal number", value=text) from error
+
+
+def _read_memory(limits: JsonObject) -> int:
+    """Return the memory limit in bytes."""
+    megabytes = limits.integer(
+        LimitsKey.MEMORY_MEGABYTES, DEFAULT_MEMORY_MEGABYTES, minimum=MIN_MEMORY_MEGABYTES
     )
+    return megabytes * BYTES_PER_MEGABYTE
--- a/locktide/dispatcher/cancellation.py
+++ b/locktide/dispatcher/cancellation.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import Protocol
 
-from locktide.config.start import Address
+from locktide.config.address import Address
 from locktide.dispatcher.background_tasks import BackgroundTasks
 from locktide.dispatcher.completion import AttemptCompletion
 from locktide.dispatcher.endpoint_directory import EndpointDirectory
--- a/locktide/dispatcher/dispatcher.py
+++ b/locktide/dispatcher/dispatcher.py
@@ -4,7 +4,8 @@
 
 import asyncio
 
-from locktide.config.start import Address, Start
+from locktide.config.address import Address
+from locktide.config.start import Start
 from locktide.dispatcher.attempts import AttemptRunner
 from locktide.dispatcher.background_tasks import BackgroundTasks
 from locktide.dispatcher.callbacks import CallbackHandler
--- a/locktide/dispatcher/endpoint_directory.py
+++ b/locktide/dispatcher/endpoint_directory.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from locktide.config.start import Address
+from locktide.config.address import Address
 from locktide.protocol.discovery import DiscoveryUpdate
 from locktide.scheduler.events import EndpointEntry
 from locktide.scheduler.types import EndpointState
--- a/locktide/dispatcher/lifecycle.py
+++ b/locktide/dispatcher/lifecycle.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from locktide.config.start import Address, spelled
+from locktide.config.address import Address, format_address
 from locktide.dispatcher.background_tasks import BackgroundTasks
 from locktide.dispatcher.endpoint_follower import EndpointFollower
 from locktide.dispatcher.registry import RequestRegistry
@@ -75,9 +75,9 @@
         self.state.is_serving = True
         workers = len(self.follower.endpoints.entries)
         self.runtime.log.emit(
-            f"serving on {spelled(self.listen_address)}, {workers} workers known",
+            f"serving on {format_address(self.listen_address)}, {workers} workers known",
             event="dispatcher_serving",
-            listen=spelled(self.listen_address),
+            listen=format_address(self.listen_address),
             workers=workers,
         )
 
--- a/locktide/dispatcher/reload.py
+++ b/locktide/dispatcher/reload.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-from locktide.config.start import Start, spelled
+from locktide.config.address import format_address
+from locktide.config.start import Start
 from locktide.dispatcher.endpoint_follower import EndpointFollower
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.dispatcher.scheduler_bridge import SchedulerBridge
@@ -40,7 +41,7 @@
         self.follower.restart()
 
     def _log_reload(self) -> None:
-        discovery = spelled(self.settings.discovery)
+        discovery = format_address(self.settings.discovery)
         service_classes = ", ".join(self.listener.timeouts)
         open_count = self.registry.open_count()
         self.log.emit(
--- a/locktide/dispatcher/service.py
+++ b/locktide/dispatcher/service.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Protocol
 
-from locktide.config.checks import ConfigError
+from locktide.config.errors import ConfigError
 from locktide.config.start import Start
 from locktide.dispatcher.dispatcher import Dispatcher
 from locktide.protocol.discovery import DiscoveryUpdate
--- a/locktide/dispatcher/settings.py
+++ b/locktide/dispatcher/settings.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass, replace
 
-from locktide.config.start import Address, Start
+from locktide.config.address import Address
+from locktide.config.start import Start
 from locktide.scheduler.config import EndpointListConfig
 from locktide.scheduler.types import Effect
 from locktide.transport.listener import Listener
--- a/locktide/durable/bootstrap.py
+++ b/locktide/durable/bootstrap.py
@@ -5,7 +5,7 @@
 import time
 from pathlib import Path
 
-from locktide.config.installation import Durable
+from locktide.config.installation.durable_jobs import DurableJobsSection
 from locktide.dispatcher.dispatcher import Dispatcher
 from locktide.durable.disk import DirectoryStorage, Storage
 from locktide.durable.job_config import JobConfig
@@ -30,15 +30,15 @@
     return ClockReading(wall_time, boot_id, uptime)
 
 
-def job_config(settings: Durable) -> JobConfig:
+def job_config(settings: DurableJobsSection) -> JobConfig:
     """Returns the configuration of jobs by the installation's settings."""
     return JobConfig(
-        service_classes=frozenset(settings.grades),
-        detached_timeout=_microseconds(settings.limit),
-        retention=_microseconds(settings.keep),
-        max_open_jobs=settings.most_open,
-        resume_rate=settings.pace,
-        leases=LeaseConfig(_microseconds(settings.start_within), _microseconds(settings.beat_within)),
+        service_classes=frozenset(settings.service_classes),
+        detached_timeout=_microseconds(settings.detached_timeout),
+        retention=_microseconds(settings.retention),
+        max_open_jobs=settings.max_open_jobs,
+        resume_rate=settings.resume_rate,
+        leases=LeaseConfig(_microseconds(settings.start_timeout), _microseconds(settings.heartbeat_timeout)),
     )
 
 
@@ -48,7 +48,7 @@
 
 async def attach_job_service(
     dispatcher: Dispatcher,
-    settings: Durable,
+    settings: DurableJobsSection,
     log: Log,
     storage: Storage | None = None,
     clocks: ClockReading | None = None,
--- a/locktide/protocol/discovery.py
+++ b/locktide/protocol/discovery.py
@@ -6,8 +6,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from locktide.config.checks import ConfigError, Table
-from locktide.config.start import Address, address
+from locktide.config.address import Address, parse_address
+from locktide.config.errors import ConfigError
+from locktide.config.json_reader import JsonObject
 from locktide.protocol import names
 from locktide.protocol.client_connection import UpstreamRequest
 from locktide.scheduler.events import EndpointEntry
@@ -42,18 +43,18 @@
     return UpstreamRequest("GET", names.INSTANCES + query, [])
 
 
-def read_entry(table: Table) -> tuple[EndpointEntry, Address]:
+def read_entry(table: JsonObject) -> tuple[EndpointEntry, Address]:
     """Reads one entry; raises ConfigError with the name of the key that is missing or malformed."""
     entry = EndpointEntry(
         table.text("uid"),
         table.text("az", ""),
         table.text("model", ""),
-        table.whole("pod_group", 0),
-        table.one_of(names.ENDPOINT_STATES, "state"),
+        table.integer("pod_group", 0),
+        table.choice(names.ENDPOINT_STATES, "state"),
         table.number("capacity_hint", 1.0),
-        table.span("boot_ms", 0),
+        table.microseconds("boot_ms", 0),
     )
-    return entry, address(table.key("endpoint"), table.text("endpoint"))
+    return entry, parse_address(table.key("endpoint"), table.text("endpoint"))
 
 
 def read(document: Any, path: str, strict: bool = True) -> DiscoveryUpdate:
@@ -69,13 +70,13 @@
     Raises:
         ConfigError: It is no endpoint list; the text begins with the key at fault.
     """
-    table = Table(document, path)
-    update = DiscoveryUpdate(table.whole("rev"), table.flag("all"), [], {})
-    rows = table.row("targets")
+    table = JsonObject(document, path)
+    update = DiscoveryUpdate(table.integer("rev"), table.flag("all"), [], {})
+    rows = table.items("targets")
     unreadable: dict[str, None] = {}  # in order, each once
     for index, row in enumerate(rows):
         try:
-            add_entry(update, Table(row, f"{path}.targets[{index}]"), unreadable)
+            add_entry(update, JsonObject(row, f"{path}.targets[{index}]"), unreadable)
         except ConfigError as error:
             if strict:
                 raise
@@ -90,7 +91,7 @@
     return update
 
 
-def add_entry(update: DiscoveryUpdate, table: Table, unreadable: dict[str, None]) -> None:
+def add_entry(update: DiscoveryUpdate, table: JsonObject, unreadable: dict[str, None]) -> None:
     """Adds an entry to the update; raises ConfigError where it is malformed or its worker is in already."""
     entry, entry_address = read_entry(table)
     if entry.worker in update.addresses or entry.worker in unreadable:
--- a/locktide/simulation/model/scenario.py
+++ b/locktide/simulation/model/scenario.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from locktide.config import typed
-from locktide.config.typed import ConfigErrors, Section, key, seconds
+from locktide.config.errors import ConfigError, ConfigFileError
+from locktide.config.toml_reader import Section, key, read_file, read_text, seconds
 from locktide.simulation.model.tenants import ClusterSpec, TenantSpec, tenant_faults
 
 
@@ -333,33 +333,55 @@
 
 def check(script: Scenario) -> Scenario:
     """What the types cannot say: raises Faults with all of it."""
-    faults = []
+    faults: list[ConfigError] = []
     names = [grade.name for grade in script.grade]
     if not names:
-        faults.append("grade: expected at least one service grade, found none")
+        faults.append(ConfigError.mismatch("grade", expected="at least one service grade", found="none"))
     if not script.fleet.kinds:
-        faults.append("fleet.kinds: expected at least one kind, found none")
+        faults.append(ConfigError.mismatch("fleet.kinds", expected="at least one kind", found="none"))
     for place, grade in enumerate(script.grade):
         if grade.name in names[:place]:
-            faults.append(f"grade[{place}].name: expected a name of its own, found {grade.name!r} again")
+            faults.append(
+                ConfigError.mismatch(
+                    f"grade[{place}].name", expected="a name of its own", found=f"{grade.name!r} again"
+                )
+            )
         if grade.soft >= grade.limit:
             faults.append(
-                f"grade[{place}].soft: expected less than limit ({grade.limit:g}), found {grade.soft:g}"
+                ConfigError.mismatch(
+                    f"grade[{place}].soft",
+                    expected=f"less than limit ({grade.limit:g})",
+                    found=f"{grade.soft:g}",
+                )
             )
         if script.fleet.kinds and grade.width > min(kind.cores for kind in script.fleet.kinds):
             faults.append(
-                f"grade[{place}].width: expected no more than the fewest cores, found {grade.width}"
+                ConfigError.mismatch(
+                    f"grade[{place}].width", expected="no more than the fewest cores", found=f"{grade.width}"
+                )
             )
     for place, name in enumerate(script.durable.grades):
         if name not in names:
-            faults.append(f"durable.grades[{place}]: expected one of {', '.join(names)}, found {name!r}")
+            faults.append(
+                ConfigError.mismatch(
+                    f"durable.grades[{place}]", expected=f"one of {', '.join(names)}", found=f"{name!r}"
+                )
+            )
     for place, incident in enumerate(script.incident):
         where = f"incident[{place}]"
         at_worker = incident.point in WORKER_CRASH_POINTS
         if incident.what == "trap" and not at_worker or incident.what == "trap-dispatcher" and at_worker:
-            faults.append(f"{where}.point: expected a point of who is trapped, found {incident.point!r}")
+            faults.append(
+                ConfigError.mismatch(
+                    f"{where}.point", expected="a point of who is trapped", found=f"{incident.point!r}"
+                )
+            )
         if incident.at >= script.length:
-            faults.append(f"{where}.at: expected less than length ({script.length:g}), found {incident.at:g}")
+            faults.append(
+                ConfigError.mismatch(
+                    f"{where}.at", expected=f"less than length ({script.length:g})", found=f"{incident.at:g}"
+                )
+            )
         if incident.what in WORKERS | DISPATCHERS or incident.what == "partition":
             try:
                 named, part = whom(script, incident) if script.fleet.kinds else ([0], 0.0)
@@ -372,17 +394,19 @@
                 wanted = f"{letter}0 to {letter}{count - 1}, {zones}, a kind, N% or all"
                 if incident.what == "partition":
                     wanted = zones
-                faults.append(f"{where}.whom: expected {wanted}, found {str(found)!r}")
+                faults.append(
+                    ConfigError.mismatch(f"{where}.whom", expected=f"{wanted}", found=f"{str(found)!r}")
+                )
     faults += tenant_faults(script)
     if faults:
-        raise ConfigErrors(faults)
+        raise ConfigFileError(faults)
     return script
 
 
 def load(path: Path) -> Scenario:
     """Raises Faults."""
-    return check(typed.read_file(Scenario, path))
+    return check(read_file(Scenario, path))
 
 
 def parse(text: str, name: str = "script") -> Scenario:
-    return check(typed.read_text(Scenario, text, name))
+    return check(read_text(Scenario, text, name))
--- a/locktide/simulation/model/tenants.py
+++ b/locktide/simulation/model/tenants.py
@@ -4,8 +4,9 @@
 
 from typing import TYPE_CHECKING, Annotated
 
-from locktide.config.accord import Resource
-from locktide.config.typed import Section, key, seconds
+from locktide.config.errors import ConfigError
+from locktide.config.installation.cluster import ResourceSection
+from locktide.config.toml_reader import Section, key, seconds
 from locktide.simulation.model import random_streams as chance
 
 if TYPE_CHECKING:
@@ -31,7 +32,7 @@
     spare: Annotated[int, key("processes beside the dispatchers that may run at once", ge=0)] = 2
     burst: Annotated[float, seconds("of a rate that may be asked for at once", gt=0)] = 5.0
     lend: Annotated[float, key("part of what a tenant does not use that may be lent", ge=0, le=1)] = 0.0
-    resource: Annotated[list[Resource], key("what tenants hold of the fleet, for the ledger")] = []
+    resource: Annotated[list[ResourceSection], key("what tenants hold of the fleet, for the ledger")] = []
     beyond: Annotated[float, key("worth of what is beyond its tenant's share", ge=0, le=1)] = 0.1
 
 
@@ -58,30 +59,47 @@
     return kept
 
 
-def tenant_faults(script: Scenario) -> list[str]:
+def tenant_faults(script: Scenario) -> list[ConfigError]:
     """What the types cannot say."""
-    found = []
+    found: list[ConfigError] = []
     if script.accord.on and not script.tenant:
-        found.append("tenant: expected at least one with accord.on, found none")
+        found.append(ConfigError.mismatch("tenant", expected="at least one with accord.on", found="none"))
     for place, tenant in enumerate(script.tenant):
         if tenant.name in [other.name for other in script.tenant[:place]]:
-            found.append(f"tenant[{place}].name: expected a name of its own, found {tenant.name!r} again")
+            found.append(
+                ConfigError.mismatch(
+                    f"tenant[{place}].name", expected="a name of its own", found=f"{tenant.name!r} again"
+                )
+            )
         if tenant.home >= script.fleet.dispatchers:
             last = script.fleet.dispatchers - 1
-            found.append(f"tenant[{place}].home: expected 0 to {last}, found {tenant.home}")
+            found.append(
+                ConfigError.mismatch(f"tenant[{place}].home", expected=f"0 to {last}", found=f"{tenant.home}")
+            )
         for span in tenant.idle:
             if len(span) != 2 or not 0 <= span[0] < span[1]:
-                found.append(f"tenant[{place}].idle: expected [from, to] with from before to, found {span}")
+                found.append(
+                    ConfigError.mismatch(
+                        f"tenant[{place}].idle", expected="[from, to] with from before to", found=f"{span}"
+                    )
+                )
         floor = tenant.rate * script.accord.burst * script.accord.reserve
         most = script.fleet.dispatchers + script.accord.spare
         if script.accord.on and script.accord.reserve and floor < most:
             found.append(
-                f"tenant[{place}].rate: expected a rate whose floors hold a submission each, found "
-                f"{tenant.rate:g}"
+                ConfigError.mismatch(
+                    f"tenant[{place}].rate",
+                    expected="a rate whose floors hold a submission each",
+                    found=f"{tenant.rate:g}",
+                )
             )
     names = [one.name for one in script.accord.resource]
     for place, grade in enumerate(script.grade):
         for name in grade.holds:
             if name not in names:
-                found.append(f"grade[{place}].holds: expected an accord.resource, found {name!r}")
+                found.append(
+                    ConfigError.mismatch(
+                        f"grade[{place}].holds", expected="an accord.resource", found=f"{name!r}"
+                    )
+                )
     return found
--- a/locktide/simulation/process_backend.py
+++ b/locktide/simulation/process_backend.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from locktide.cluster.inspection_client import inspect_member
-from locktide.config.accord import Accord
+from locktide.config.installation.cluster import ClusterSection
 from locktide.simulation.backend import DISPATCHER_PORT, REACH_PORT, TALK_PORT, Address, net_address
 from locktide.simulation.cluster_report import QuotaTrace
 from locktide.simulation.latency import DelayedDirection, DelayedProtocol, DelayedTransport
@@ -135,9 +135,9 @@
         self.whole = asyncio.Event()  # set at each change of the links
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
         # Where jobs are durable: what a dispatcher is told, as an installation's file with that directory.
-        self.as_file: Callable[[dict[str, Any], Path, Accord | None], str] | None = None
+        self.as_file: Callable[[dict[str, Any], Path, ClusterSection | None], str] | None = None
         # Where dispatchers agree: the accord of one, by where it listens and is reached, and its trace.
-        self.agree: Callable[[int, Path], Accord] | None = None
+        self.agree: Callable[[int, Path], ClusterSection] | None = None
         self.talk = PeerLinks(os.getpid())
         self.reached: dict[int, asyncio.DatagramTransport] = {}
         self.told_at: dict[int, str] = {}
--- a/locktide/simulation/rendered_config.py
+++ b/locktide/simulation/rendered_config.py
@@ -8,8 +8,13 @@
 
 import msgspec
 
-from locktide.config.accord import Accord, Elector
-from locktide.config.installation import EFFECTS, Durable, Grade, Installation, Serve, Tenant
+from locktide.config.installation.cluster import AcceptorSection, ClusterSection
+from locktide.config.installation.dispatcher import ServeSection
+from locktide.config.installation.document import Installation
+from locktide.config.installation.durable_jobs import DurableJobsSection
+from locktide.config.installation.service_classes import ServiceClassSection
+from locktide.config.installation.start import PLATFORM_EFFECTS
+from locktide.config.installation.tenants import TenantSection
 from locktide.simulation.model.scenario import Scenario
 
 
@@ -19,7 +24,7 @@
     grades = [
         {
             "Name": grade.name,
-            "Semantics": EFFECTS[grade.effect],
+            "Semantics": PLATFORM_EFFECTS[grade.effect],
             "Group": "cell" if grade.effect == "numbered" else "all",
             "MemorySpan": grade.memory * 1000,
             "SoftLimit": grade.soft * 1000,
@@ -97,15 +102,15 @@
     return script.durable.grades or [grade.name for grade in script.grade]
 
 
-def durable(script: Scenario) -> Durable:
+def durable(script: Scenario) -> DurableJobsSection:
     terms = script.durable
-    return Durable(
-        on=True,
-        grades=kept_grades(script),
-        limit=terms.limit,
-        keep=3600.0,
-        start_within=terms.start_within,
-        beat_within=terms.beat_within,
+    return DurableJobsSection(
+        enabled=True,
+        service_classes=kept_grades(script),
+        detached_timeout=terms.limit,
+        retention=3600.0,
+        start_timeout=terms.start_within,
+        heartbeat_timeout=terms.beat_within,
         segment_mb=terms.segment_kb / 1024,
     )
 
@@ -115,34 +120,39 @@
     return 5 if script.fleet.dispatchers >= 5 else 3 if script.fleet.dispatchers >= 3 else 1
 
 
-def agreed(script: Scenario, listen: str, reach: str, places: list[str], trace: str) -> Accord:
+def agreed(script: Scenario, listen: str, reach: str, places: list[str], trace: str) -> ClusterSection:
     """The accord of one dispatcher, as an installation has it; `places` are where all are reached."""
     terms = script.accord
-    return Accord(
-        on=True,
+    return ClusterSection(
+        enabled=True,
         listen=listen,
-        reach=reach,
-        electors=[Elector(name=f"d{n}", address=places[n]) for n in range(electors(script))],
-        reserve=terms.reserve,
-        most=script.fleet.dispatchers + terms.spare,
+        advertised_address=reach,
+        acceptors=[AcceptorSection(name=f"d{n}", address=places[n]) for n in range(electors(script))],
+        reserved_fraction=terms.reserve,
+        max_members=script.fleet.dispatchers + terms.spare,
         burst=terms.burst,
-        lend=terms.lend,
-        resource=terms.resource,
+        lendable_fraction=terms.lend,
+        resources=terms.resource,
         trace=trace,
     )
 
 
-def installation(script: Scenario, name: str, accord: Accord) -> Installation:
+def installation(script: Scenario, name: str, accord: ClusterSection) -> Installation:
     """As much of an installation as the accord is told by."""
     return Installation(
-        serve=Serve(name=name),
-        accord=accord,
-        tenant=[Tenant(name=one.name, rate=one.rate, weight=one.weight) for one in script.tenant],
-        grade=[Grade(name=one.name, limit=one.limit, holds=one.holds) for one in script.grade],
+        serve=ServeSection(name=name),
+        cluster=accord,
+        tenants=[TenantSection(name=one.name, rate=one.rate, weight=one.weight) for one in script.tenant],
+        service_classes=[
+            ServiceClassSection(name=one.name, timeout=one.limit, resource_needs=one.holds)
+            for one in script.grade
+        ],
     )
 
 
-def as_file(script: Scenario, told: dict[str, Any], directory: Path, accord: Accord | None = None) -> str:
+def as_file(
+    script: Scenario, told: dict[str, Any], directory: Path, accord: ClusterSection | None = None
+) -> str:
     """What `config` tells, as an installation's file, with durable jobs in that directory or with an accord.
 
     For `locktide serve`: the platform's start has no such parts.
@@ -169,11 +179,11 @@
         "durable": {
             "on": script.durable.on,
             "directory": str(directory),
-            "grades": kept.grades,
-            "limit": kept.limit,
-            "keep": kept.keep,
-            "start_within": kept.start_within,
-            "beat_within": kept.beat_within,
+            "grades": kept.service_classes,
+            "limit": kept.detached_timeout,
+            "keep": kept.retention,
+            "start_within": kept.start_timeout,
+            "beat_within": kept.heartbeat_timeout,
             "segment_mb": kept.segment_mb,
         },
     }
--- a/locktide/simulation/virtual_backend.py
+++ b/locktide/simulation/virtual_backend.py
@@ -11,9 +11,9 @@
 
 from locktide.cluster.config import ClusterConfig
 from locktide.cluster.udp_transport import UdpTransport, open_udp_transport
-from locktide.config import start
-from locktide.config.checks import Table
-from locktide.config.installation import Durable
+from locktide.config.installation.durable_jobs import DurableJobsSection
+from locktide.config.json_reader import JsonObject
+from locktide.config.start import start_from_document
 from locktide.dispatcher.dispatcher import Dispatcher
 from locktide.durable.bootstrap import attach_job_service
 from locktide.durable.recovery import ClockReading
@@ -79,7 +79,9 @@
         self.processes: dict[int, tuple[VirtualProcess, asyncio.Event]] = {}
         self.begun = 0.0
         self.said: list[str] = []
-        self.durable: tuple[Durable, int, float, float] | None = None  # terms, seed, latency, zeros
+        self.durable: tuple[DurableJobsSection, int, float, float] | None = (
+            None  # terms, seed, latency, zeros
+        )
         self.platters: dict[int, VirtualDisk] = {}
         self.on_point: Callable[[int, str], None] = lambda number, name: None
         self.all: list[VirtualProcess] = []  # also those that have died
@@ -133,7 +135,7 @@
         stop = asyncio.Event()
         self.processes[number] = (process, stop)
         self.all.append(process)
-        read = start.from_table(Table(told), {})
+        read = start_from_document(JsonObject(told), {})
         kept = self.kept(number)
         known = discovery.read(read.cached_endpoints, "known")
         context = process.context()
@@ -207,7 +209,7 @@
         at = round(self.wall() * 1e6)
         return ClockReading(at, "virtual", round(self.loop.time() * 1e6))
 
-    def kept(self, number: int) -> tuple[Durable, VirtualDisk] | None:
+    def kept(self, number: int) -> tuple[DurableJobsSection, VirtualDisk] | None:
         """The terms and the disk of a dispatcher that keeps jobs."""
         if self.durable is None:
             return None
--- a/locktide/transport/endpoint_watch.py
+++ b/locktide/transport/endpoint_watch.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from locktide.config.start import Address, spelled
+from locktide.config.address import Address, format_address
 from locktide.protocol import discovery
 from locktide.protocol.client_connection import ClientHttpConnection
 from locktide.protocol.discovery import DiscoveryUpdate
@@ -104,7 +104,7 @@
         connecting = asyncio.open_connection(*self.address, limit=READ_SIZE)
         reader, writer = await asyncio.wait_for(connecting, ANSWER_TIMEOUT)
         try:
-            http = ClientHttpConnection(spelled(self.address), discovery.MAX_LIST_SIZE)
+            http = ClientHttpConnection(format_address(self.address), discovery.MAX_LIST_SIZE)
             answer_timeout = self.first_answer_timeout
             while http.is_idle:
                 called_at = asyncio.get_running_loop().time()
--- a/locktide/transport/listener.py
+++ b/locktide/transport/listener.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from locktide.config.start import Address
+from locktide.config.address import Address
 from locktide.transport.client_connection import ClientConnection, PeerRole
 from locktide.transport.client_session import LINGER_TIMEOUT, ClientSession
 from locktide.transport.descriptor_budget import DescriptorBudget, run_pending_reads
--- a/locktide/transport/system.py
+++ b/locktide/transport/system.py
@@ -6,7 +6,7 @@
 import time
 from typing import Protocol
 
-from locktide.config.start import Address
+from locktide.config.address import Address
 
 
 class System(Protocol):
--- a/locktide/transport/upstream_pool.py
+++ b/locktide/transport/upstream_pool.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-from locktide.config.start import Address, spelled
+from locktide.config.address import Address, format_address
 from locktide.protocol.client_connection import ClientHttpConnection, UpstreamRequest, UpstreamResponse
 from locktide.protocol.errors import ProtocolError
 from locktide.scheduler.types import AttemptOutcome
@@ -82,7 +82,7 @@
     def __init__(self, worker: str, address: Address) -> None:
         self.worker = worker
         self.address = address
-        self.http = ClientHttpConnection(spelled(address))
+        self.http = ClientHttpConnection(format_address(address))
         self.is_connected = False
         self.is_reused = False
         self.idle_since = 0.0
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -19,8 +19,8 @@
 from locktide.cluster.messages import InspectionRequest, decode, encode
 from locktide.cluster.quota.local_quota import QuotaSpec
 from locktide.cluster.udp_transport import UdpTransport, open_udp_transport
-from locktide.config import installation
-from locktide.config.typed import ConfigErrors
+from locktide.config.errors import ConfigFileError
+from locktide.config.installation.loading import parse_installation
 from locktide.scheduler.commands import RejectRequest
 from locktide.scheduler.events import ConfigReloaded, QuotaSharesUpdated, QuotaStage, RequestArrived
 from locktide.simulation.cluster import processes
@@ -159,9 +159,9 @@
 )
 def test_a_faulty_accord_section_names_its_key(change: tuple[str, str], key: str) -> None:
     text = FILE.format(port=7, udp=8)
-    assert installation.parse(text).accord.on
-    with pytest.raises(ConfigErrors) as found:
-        installation.parse(text.replace(*change))
+    assert parse_installation(text).cluster.enabled
+    with pytest.raises(ConfigFileError) as found:
+        parse_installation(text.replace(*change))
     assert key in str(found.value)
 
 
--- a/tests/config/test_start_file.py
+++ b/tests/config/test_start_file.py
@@ -9,7 +9,7 @@
 import pytest
 
 from locktide.config import start
-from locktide.config.checks import ConfigError
+from locktide.config.errors import ConfigError
 
 FIRST_CLASS = ["settings", "ServiceGrades", 0]
 
@@ -35,7 +35,7 @@
 def read_start(tmp_path: Path, document: Any, **environment: str) -> start.Start:
     path = tmp_path / "start.json"
     path.write_text(document if isinstance(document, str) else json.dumps(document))
-    return start.read({"GW_CONFIG": str(path), **environment})
+    return start.read_start({"GW_CONFIG": str(path), **environment})
 
 
 def test_start_file_is_read_with_defaults_and_overridden_by_variables(tmp_path: Path) -> None:
@@ -52,8 +52,11 @@
         and settings.scheduler_config.dispatcher_count == 1
     )
     moved = {"GW_CONFIG": str(tmp_path / "start.json"), "GW_DISCOVERY": "127.0.0.9:2"}
-    assert start.read(moved).discovery == ("127.0.0.9", 2)
-    assert start.read(moved, again=True).discovery == ("127.0.0.1", 8500)  # at a reload the file counts
+    assert start.read_start(moved).discovery == ("127.0.0.9", 2)
+    assert start.read_start(moved, is_reload=True).discovery == (
+        "127.0.0.1",
+        8500,
+    )  # at a reload the file counts
 
 
 @pytest.mark.parametrize(
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -10,7 +10,7 @@
 from endpoint_lists import list_body, list_entry
 from helpers import HandPlayed
 
-from locktide.config.checks import ConfigError
+from locktide.config.errors import ConfigError
 from locktide.protocol import discovery
 from locktide.scheduler.events import EndpointEntry
 from locktide.scheduler.types import EndpointState
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -11,8 +11,11 @@
 from helpers import GRADES, Checked, listed, submission, terms
 
 from locktide.bench_adapter import wire
-from locktide.config import installation, settings, start
-from locktide.config.checks import ConfigError, Table
+from locktide.config import settings, start
+from locktide.config.errors import ConfigError
+from locktide.config.installation.loading import parse_installation
+from locktide.config.installation.start import settings_document
+from locktide.config.json_reader import JsonObject
 from locktide.dispatcher.dispatcher import Dispatcher
 from locktide.protocol import discovery
 from locktide.protocol import server_connection as clients
@@ -130,12 +133,12 @@
         "ConfinedTo": ["a"],
         "KindsAllowed": ["big", "small"],
     }
-    told = settings.scheduler_config(Table({"ServiceGrades": [grade], "Rules": {"HangUpWithin": 250.0}}))
+    told = settings.scheduler_config(JsonObject({"ServiceGrades": [grade], "Rules": {"HangUpWithin": 250.0}}))
     assert told.service_classes[0].placement == (frozenset(["big", "small"]), frozenset(["a"]))
     assert told.endpoint_list.close_idle_within == 250_000
     text = '[workers]\nhang_up = 0.25\n[[grade]]\nname = "view"\nmodels = ["big", "small"]\nzones = ["a"]\n'
-    read = start.from_table(
-        Table(
+    read = start.start_from_document(
+        JsonObject(
             {
                 "name": "n0",
                 "listen": "127.0.0.1:7",
@@ -143,7 +146,7 @@
                 "seed": "1",
                 "limits": {"sockets": 64, "memory_mb": 80},
                 "known": {"rev": 0, "all": True, "targets": []},
-                "settings": installation.as_settings(installation.parse(text)),
+                "settings": settings_document(parse_installation(text)),
             }
         ),
         {},
@@ -152,9 +155,11 @@
         read.scheduler_config.service_classes[0].placement == told.service_classes[0].placement
         and read.scheduler_config.endpoint_list.close_idle_within == 250_000
     )
-    plain = settings.scheduler_config(Table({"ServiceGrades": [{**grade, "ConfinedTo": ["a"]}]}))
+    plain = settings.scheduler_config(JsonObject({"ServiceGrades": [{**grade, "ConfinedTo": ["a"]}]}))
     del grade["ConfinedTo"], grade["KindsAllowed"]
-    assert settings.scheduler_config(Table({"ServiceGrades": [grade]})).service_classes[0].placement is None
+    assert (
+        settings.scheduler_config(JsonObject({"ServiceGrades": [grade]})).service_classes[0].placement is None
+    )
     assert plain.service_classes[0].placement
 
 
@@ -169,5 +174,5 @@
 def test_a_faulty_bound_is_named(change: Any, key: str) -> None:
     grade = {"Name": "view", "Semantics": "free", "SoftLimit": 250.0, "TimeLimit": 9000.0}
     with pytest.raises(ConfigError) as found:
-        settings.scheduler_config(Table(json.loads(json.dumps({"ServiceGrades": [grade | change]}))))
+        settings.scheduler_config(JsonObject(json.loads(json.dumps({"ServiceGrades": [grade | change]}))))
     assert key in str(found.value)
--- a/tests/simulation/test_cluster_scenarios.py
+++ b/tests/simulation/test_cluster_scenarios.py
@@ -11,7 +11,7 @@
 import pytest
 
 from locktide.cluster.quota import allocator as giver
-from locktide.config.typed import ConfigErrors
+from locktide.config.errors import ConfigFileError
 from locktide.simulation import cluster_report as agreed
 from locktide.simulation import outcome
 from locktide.simulation import run as play
@@ -85,7 +85,7 @@
 def test_a_faulty_tenant_names_its_key(change: tuple[str, str], key: str) -> None:
     text = (HERE / "deploy" / "scenarios" / "accord-lend.toml").read_text()
     assert change[0] in text
-    with pytest.raises(ConfigErrors) as found:
+    with pytest.raises(ConfigFileError) as found:
         scripts.parse(text.replace(*change))
     assert key in str(found.value)
 
--- a/tests/simulation/test_model.py
+++ b/tests/simulation/test_model.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from locktide.config.typed import ConfigErrors
+from locktide.config.errors import ConfigFileError
 from locktide.simulation.model import random_scenario as rough
 from locktide.simulation.model import random_streams as chance
 from locktide.simulation.model import scenario as script
@@ -354,14 +354,14 @@
 
 @pytest.mark.parametrize("text", BROKEN)
 def test_a_faulty_script_is_refused_with_the_key_and_what_was_found(text: str) -> None:
-    with pytest.raises(ConfigErrors) as found:
+    with pytest.raises(ConfigFileError) as found:
         script.parse(text)
     for words in BROKEN[text]:
         assert words in str(found.value)
 
 
 def test_all_faults_of_a_script_are_named_at_once() -> None:
-    with pytest.raises(ConfigErrors) as found:
+    with pytest.raises(ConfigFileError) as found:
         script.parse("lenght = 3\n[fleet]\nworkers = 0\n[[incident]]\nat = 'noon'\nfor = -1.0")
     assert len(found.value.lines) == 4
 
--- a/tests/simulation/test_simulate.py
+++ b/tests/simulation/test_simulate.py
@@ -18,9 +18,12 @@
 
 from locktide.cli.main import main
 from locktide.cli.simulate import seeds_of
-from locktide.config import installation
-from locktide.config.typed import ConfigErrors
+from locktide.config.errors import ConfigFileError
+from locktide.config.installation.loading import load_installation, parse_installation
+from locktide.config.installation.start import start_from_installation
+from locktide.config.installation.tenants import TenantSection
 from locktide.scheduler.config import CostConfig
+from locktide.scheduler.types import Effect
 from locktide.simulation import compare, plots
 from locktide.simulation.model import random_scenario as rough
 from locktide.simulation.model import scenario as script
@@ -289,18 +292,19 @@
 
 def test_the_shipped_installation_is_good_and_shows_every_key() -> None:
     path = HERE / "deploy" / "locktide.toml"
-    told = installation.load(path)
-    begun = installation.start(told, 5)
+    told = load_installation(path)
+    begun = start_from_installation(told, 5)
     assert begun.listen == ("127.0.0.1", 7070) and begun.idle_close == 15_000_000
     assert (
         not begun.scheduler_config.endpoint_list.live_ratings
         and not begun.scheduler_config.endpoint_list.polled
         and begun.scheduler_config.costs == CostConfig(idle_timeout=15_000_000)
     )
-    told.workers.ratings, told.serve.zone, told.serve.ask = "live", "north", True
-    told.worth.connection, told.worth.crossing, told.worth.worst_grade = 0.05, 0.02, 0.3
-    told.tenant = [installation.Tenant("dairy", 4.0)]
-    moved = installation.start(told, 5).scheduler_config
+    told.workers.ratings, told.serve.zone, told.serve.polled = "live", "north", True
+    told.objective.connection_cost, told.objective.cross_zone_cost = 0.05, 0.02
+    told.objective.worst_class_weight = 0.3
+    told.tenants = [TenantSection("dairy", 4.0)]
+    moved = start_from_installation(told, 5).scheduler_config
     assert (
         moved.endpoint_list.live_ratings
         and moved.endpoint_list.polled
@@ -311,11 +315,12 @@
         and moved.objective.worst_class_weight == 0.3
     )
     grades = begun.scheduler_config.service_classes
-    assert [grade.effect for grade in grades] == ["reissuable", "numbered"]
+    assert [grade.effect for grade in grades] == [Effect.IDEMPOTENT, Effect.IDEMPOTENT_WITH_KEY]
     assert grades[1].deduplication_window == 40_000_000 and grades[1].timeout == 25_000_000
+    attributes = dict(zip(told.__struct_encode_fields__, told.__struct_fields__, strict=True))
     for part in ("serve", "limits", "log", "dispatches", "workers", "worth", "accord"):
         shown = path.read_text().partition(f"[{part}]")[2].partition("\n[")[0]
-        for field in getattr(told, part).__struct_fields__:
+        for field in getattr(told, attributes[part]).__struct_encode_fields__:
             assert f"\n{field} = " in shown, f"{part}.{field}"
 
 
@@ -338,8 +343,8 @@
 
 @pytest.mark.parametrize("text", BAD_INSTALLATIONS)
 def test_a_faulty_installation_is_refused_with_its_key(text: str) -> None:
-    with pytest.raises(ConfigErrors) as found:
-        installation.parse(text)
+    with pytest.raises(ConfigFileError) as found:
+        parse_installation(text)
     assert BAD_INSTALLATIONS[text] in str(found.value)
 
 
--- a/tests/test_light.py
+++ b/tests/test_light.py
@@ -43,7 +43,7 @@
         "transport",
         "protocol",
     }
-    assert "locktide.config.typed" not in loaded and "locktide.config.installation" not in loaded
+    assert "locktide.config.toml_reader" not in loaded and "locktide.config.installation" not in loaded
 
 
 def test_serving_by_a_file_loads_nothing_of_rehearsals() -> None:
--- a/tests/test_parsed_values.py
+++ b/tests/test_parsed_values.py
@@ -24,8 +24,19 @@
 from locktide.cluster.config import ClusterConfig as AccordTerms
 from locktide.cluster.fairness.ledger import FairnessConfig as LedgerTerms
 from locktide.cluster.quota.local_quota import QuotaSpec
-from locktide.config import accord, installation, start
-from locktide.config.checks import Table
+from locktide.config import start
+from locktide.config.installation.attempts import AttemptsSection
+from locktide.config.installation.cluster import AcceptorSection, ClusterSection, ResourceSection
+from locktide.config.installation.dispatcher import LimitsSection, LogSection, ServeSection
+from locktide.config.installation.document import Installation
+from locktide.config.installation.durable_jobs import DurableJobsSection
+from locktide.config.installation.loading import load_installation
+from locktide.config.installation.objective import ObjectiveSection
+from locktide.config.installation.service_classes import ServiceClassSection
+from locktide.config.installation.start import start_from_installation
+from locktide.config.installation.tenants import TenantSection
+from locktide.config.installation.workers import KnownWorkerSection, WorkersSection
+from locktide.config.json_reader import JsonObject
 from locktide.durable.bootstrap import job_config as durable_terms
 from locktide.durable.job_config import JobConfig as JobTerms
 from locktide.durable.leases import LeaseConfig as LeaseTerms
@@ -59,35 +70,54 @@
 
 # Of each class a stable tag and its fields, in a stable order, as LABEL or, once renamed, LABEL=ATTRIBUTE.
 SHAPES: dict[type, tuple[str, str]] = {
-    installation.Serve: ("installation-serve", "name listen roster seed zone ask ask_within"),
-    installation.Limits: ("installation-limits", "descriptors memory_mb"),
-    installation.Logging: ("installation-logging", "format"),
-    installation.Dispatches: (
+    ServeSection: (
+        "installation-serve",
+        "name listen roster=discovery seed zone ask=polled ask_within=poll_within",
+    ),
+    LimitsSection: ("installation-limits", "descriptors memory_mb"),
+    LogSection: ("installation-logging", "format"),
+    AttemptsSection: (
         "installation-dispatches",
-        "most may_withdraw connect idle longest_advice round",
+        "most=max_attempts may_withdraw=can_cancel connect=connect_timeout idle=idle_timeout "
+        "longest_advice=max_retry_after round=round_interval",
     ),
-    installation.Workers: (
+    WorkersSection: (
         "installation-workers",
-        "dispatchers hang_up tells_start progress cold_from cold_for fall_factor fall_for ratings",
+        "dispatchers=dispatcher_count hang_up=close_idle_within tells_start=reports_start "
+        "progress=report_interval cold_from=initial_capacity cold_for=warmup "
+        "fall_factor=overload_factor fall_for=overload_window ratings",
+    ),
+    ObjectiveSection: (
+        "installation-worth",
+        "worst_grade=worst_class_weight beyond_share=beyond_quota_weight connection=connection_cost "
+        "crossing=cross_zone_cost",
     ),
-    installation.Worth: ("installation-worth", "worst_grade beyond_share connection crossing"),
-    installation.Tenant: ("installation-tenant", "name rate weight"),
-    installation.Known: ("installation-known", "uid endpoint zone model cell"),
-    installation.Grade: (
+    TenantSection: ("installation-tenant", "name rate weight"),
+    KnownWorkerSection: ("installation-known", "uid endpoint zone model=worker_type cell"),
+    ServiceClassSection: (
         "installation-grade",
-        "name effect group memory soft stretch limit revenue late model models zones holds",
+        "name effect group=deduplication_scope memory=deduplication_window soft=latency_objective stretch "
+        "limit=timeout revenue=priority_weight late=overdue_weight model=worker_type "
+        "models=allowed_worker_types zones=allowed_zones holds=resource_needs",
     ),
-    installation.Durable: (
+    DurableJobsSection: (
         "installation-durable",
-        "on directory grades limit keep most_open start_within beat_within pace segment_mb damaged",
+        "on=enabled directory grades=service_classes limit=detached_timeout keep=retention "
+        "most_open=max_open_jobs start_within=start_timeout beat_within=heartbeat_timeout "
+        "pace=resume_rate segment_mb damaged",
     ),
-    installation.Installation: (
+    Installation: (
         "installation",
-        "serve limits log dispatches workers durable accord worth known tenant grade",
+        "serve limits log dispatches=attempts workers durable=durable_jobs accord=cluster worth=objective "
+        "known=known_workers tenant=tenants grade=service_classes",
+    ),
+    AcceptorSection: ("accord-elector", "name address"),
+    ResourceSection: ("accord-resource", "name each=worker_capacity"),
+    ClusterSection: (
+        "accord",
+        "on=enabled listen reach=advertised_address electors=acceptors seeds reserve=reserved_fraction "
+        "most=max_members burst lend=lendable_fraction resource=resources trace",
     ),
-    accord.Elector: ("accord-elector", "name address"),
-    accord.Resource: ("accord-resource", "name each"),
-    accord.Accord: ("accord", "on listen reach electors seeds reserve most burst lend resource trace"),
     script.WorkerTypeSpec: ("script-kind", "name share cores speed"),
     script.FleetSpec: ("script-fleet", "dispatchers workers zones pod kinds"),
     script.WorkerSpec: (
@@ -211,23 +241,23 @@
     """The platform's JSON: alone, with every variable set, and read again at a reload."""
     alone = {"GW_CONFIG": str(path)}
     variables = alone | {"GW_NAME": "other", "GW_LISTEN": "127.0.0.9:1", "GW_DISCOVERY": "127.0.0.9:2"}
-    begun = start.read(alone)
+    begun = start.read_start(alone)
     return {
         "start": begun,
-        "with variables": start.read(variables),
-        "again": start.read(variables, again=True),
+        "with variables": start.read_start(variables),
+        "again": start.read_start(variables, is_reload=True),
         "known list": discovery.read(begun.cached_endpoints, "known"),
     }
 
 
 def parse_installation(path: Path) -> dict[str, Any]:
-    parsed = installation.load(path)
-    begun = installation.start(parsed, 5)
+    parsed = load_installation(path)
+    begun = start_from_installation(parsed, 5)
     return {
         "installation": parsed,
         "start": begun,
         "known list": discovery.read(begun.cached_endpoints, "known"),
-        "durable": durable_terms(parsed.durable),
+        "durable": durable_terms(parsed.durable_jobs),
         "accord": accord_terms(parsed),
     }
 
@@ -239,7 +269,7 @@
     config = told.config(parsed, 1, "127.0.0.1:7070", "127.0.0.1:8500", known)
     found = {
         "script": parsed,
-        "start": start.from_table(Table(config), {}),
+        "start": start.start_from_document(JsonObject(config), {}),
         "kinds": [kind.name for kind in script.assign_worker_types(parsed)],
         "whom": [named(parsed, incident) for incident in parsed.incident],
     }
