--- a/locktide/scheduler/estimators/beta.py
+++ b/locktide/scheduler/estimators/beta.py
@@ -4,6 +4,9 @@
 
 
 def draw_beta(random: LinearCongruentialGenerator, a: int, b: int) -> float:
-    """Draws from Beta(a, b): the a-th smallest of a + b - 1 uniform draws is distributed so."""
+    """Draw from Beta(a, b), for whole parameters.
+
+    The a-th smallest of a + b - 1 uniform draws has this distribution, so the draw takes that many of them.
+    """
     draws = sorted([random.below(PROBABILITY_STEPS) for _ in range(a + b - 1)])
     return draws[a - 1] / PROBABILITY_STEPS
--- a/locktide/scheduler/estimators/key_frequencies.py
+++ b/locktide/scheduler/estimators/key_frequencies.py
@@ -1,25 +1,28 @@
-"""How often affinity keys are asked for."""
+"""How often each affinity key is requested."""
 
 from locktide.scheduler.estimators.decaying_sum import DecayingSum
 
-MAX_KEYS = 1024  # guards the memory where each request has a key of its own
-MEMORY = 10_000_000  # microseconds; long enough for some tens of requests where few come to one of us
+#: Keys that are counted at once. Bounds the memory where each request has a key of its own.
+MAX_KEYS = 1024
+#: Decay of the counts, in microseconds: long enough for some tens of requests where few reach a dispatcher.
+COUNT_SPAN = 10_000_000
 
 
 class KeyFrequencies:
     """Counts the requests for each key, and for any."""
 
     def __init__(self) -> None:
-        self._by_key, self._total = dict[int, DecayingSum](), DecayingSum(MEMORY)
+        self._counts: dict[int, DecayingSum] = {}
+        self._total = DecayingSum(COUNT_SPAN)
 
     def count(self, key: int, now: int) -> None:
-        """Counts a request for the key."""
-        if len(self._by_key) >= MAX_KEYS:
-            self._by_key.clear()
-        self._by_key.setdefault(key, DecayingSum(MEMORY)).add(1.0, now)
+        """Count a request for the key."""
+        if len(self._counts) >= MAX_KEYS:
+            self._counts.clear()
+        self._counts.setdefault(key, DecayingSum(COUNT_SPAN)).add(1.0, now)
         self._total.add(1.0, now)
 
     def share(self, key: int, now: int, others: float) -> float:
-        """The key's part of all requests; `others` of other keys are taken for granted beside them."""
-        count = self._by_key[key].read(now) if key in self._by_key else 0.0
+        """Return the key's fraction of all requests, as if `others` of other keys had come beside them."""
+        count = self._counts[key].read(now) if key in self._counts else 0.0
         return count / (others + self._total.read(now))
--- a/locktide/scheduler/estimators/random.py
+++ b/locktide/scheduler/estimators/random.py
@@ -10,12 +10,16 @@
 MULTIPLIER = 6364136223846793005
 INCREMENT = 1442695040888963407
 MASK_64_BITS = 0xFFFFFFFFFFFFFFFF
-# Probabilities are compared with draws below this number.
+#: Probabilities are compared with draws below this number.
 PROBABILITY_STEPS = 1 << 20
 
 
 class LinearCongruentialGenerator:
-    """A linear congruential generator of 64 bits, of which only the upper 32 are used."""
+    """A linear congruential generator of 64 bits, of which only the upper 32 are used.
+
+    Attributes:
+        state: the number that the next draw is computed from.
+    """
 
     __slots__ = ("state",)
 
@@ -23,16 +27,16 @@
         self.state = seed & MASK_64_BITS
 
     def below(self, bound: int) -> int:
-        """Draws a whole number from 0 to `bound` - 1, each equally likely; `bound` is at most 2**32."""
+        """Draw a whole number from 0 to `bound` - 1, each equally likely; `bound` is at most 2**32."""
         self.state = (self.state * MULTIPLIER + INCREMENT) & MASK_64_BITS
         return ((self.state >> 32) * bound) >> 32
 
-    def falls(self, probability: float) -> bool:
-        """Draws True with the given probability."""
+    def bernoulli(self, probability: float) -> bool:
+        """Draw True with the given probability."""
         return self.below(PROBABILITY_STEPS) < probability * PROBABILITY_STEPS
 
-    def by(self, weights: Sequence[float]) -> int:
-        """Draws an index, each with a probability proportional to its weight."""
+    def weighted_index(self, weights: Sequence[float]) -> int:
+        """Draw an index, each with a probability proportional to its weight."""
         sums = list(accumulate(weights))
         drawn = sums[-1] * self.below(PROBABILITY_STEPS) / PROBABILITY_STEPS
         return min(len(sums) - 1, bisect(sums, drawn))
--- a/locktide/scheduler/policy/placement.py
+++ b/locktide/scheduler/policy/placement.py
@@ -83,7 +83,7 @@
             usual = sum(weights) / max(1, len(weights) - len(warming)) or 1.0
             for place in warming:
                 weights[place] = usual * slow_start.factor(eligible[place])
-        drawn = eligible[state.random.by(weights)]
+        drawn = eligible[state.random.weighted_index(weights)]
         if without_key and warming and slow_start.is_warming_up(drawn):
             preferred = slow_start.preferred()
             return preferred if preferred in eligible else drawn
@@ -97,7 +97,7 @@
             # its speed: slow types get too much. The square, so that waits become even and not only loads;
             # the plain ratio scored less on all three.
             speed = state.throughput.relative_speeds.get(endpoint.worker_type, 1.0)
-            if not state.random.falls(speed**2):
+            if not state.random.bernoulli(speed**2):
                 return False
         return not slow_start.is_warming_up(endpoint) or slow_start.allows(endpoint, request)
 
--- a/locktide/scheduler/policy/slow_start.py
+++ b/locktide/scheduler/policy/slow_start.py
@@ -49,7 +49,7 @@
         if state.now < self._drawn_at + config.window:
             return False
         self._drawn_at = state.now
-        return state.random.falls(max(0.0, left / need))
+        return state.random.bernoulli(max(0.0, left / need))
 
     def preferred(self) -> Endpoint:
         """The one endpoint of those warming up that is ours for a window, drawn by factor."""
@@ -58,7 +58,7 @@
         is_over = state.now >= self._preferred_at + window
         if not self._preferred or is_over or not self.is_warming_up(self._preferred):
             warming = self._warming_up()
-            drawn = state.random.by([self.factor(endpoint) for endpoint in warming])
+            drawn = state.random.weighted_index([self.factor(endpoint) for endpoint in warming])
             self._preferred, self._preferred_at = warming[drawn], state.now
         return self._preferred
 
--- a/tests/scheduler/test_random.py
+++ b/tests/scheduler/test_random.py
@@ -1,4 +1,4 @@
-"""Random draws: even, weighted as asked for, and the same for a seed for ever."""
+"""Random draws: uniform, by given weights, and the same for a seed on every platform."""
 
 from __future__ import annotations
 
@@ -15,6 +15,11 @@
 
 
 def test_a_seed_gives_the_same_draws_on_every_platform() -> None:
+    """A recorded run is played again elsewhere, or with a later Python.
+
+    The generator of the standard library may draw otherwise there, and each decision after the first draw
+    would differ. The draws of a seed must be these, for good.
+    """
     generator = LinearCongruentialGenerator(7)
     assert [generator.below(1000) for _ in range(6)] == [493, 955, 906, 272, 266, 138]
 
@@ -30,11 +35,11 @@
 )
 def test_an_event_happens_as_often_as_its_probability_says(probability: float, least: int, most: int) -> None:
     generator = LinearCongruentialGenerator(7)
-    assert least <= sum(generator.falls(probability) for _ in range(5000)) <= most
+    assert least <= sum(generator.bernoulli(probability) for _ in range(5000)) <= most
 
 
 def test_an_index_is_drawn_in_proportion_to_its_weight() -> None:
     generator, seen = LinearCongruentialGenerator(7), [0] * 3
     for _ in range(6000):
-        seen[generator.by([1.0, 0.0, 2.0])] += 1
+        seen[generator.weighted_index([1.0, 0.0, 2.0])] += 1
     assert seen[1] == 0 and 1850 < seen[0] < 2150
--- a/tests/scheduler/test_rendezvous.py
+++ b/tests/scheduler/test_rendezvous.py
@@ -37,6 +37,11 @@
 
 
 def test_without_a_candidate_the_others_keep_their_order() -> None:
+    """A worker leaves the fleet.
+
+    If the order of every key changed with it, all keys would move to workers that do not have what they need,
+    and the whole fleet would fetch at once. Only the keys that had the worker that left may move.
+    """
     for key in range(50):
         left = [name for name in order(CANDIDATES, key) if name != "w2"]
         assert order([candidate for candidate in CANDIDATES if candidate.name != "w2"], key) == left
--- a/tests/scheduler/test_rendezvous_orders.py
+++ b/tests/scheduler/test_rendezvous_orders.py
@@ -1,4 +1,4 @@
-"""Rendezvous orders of many keys, remembered while the candidates stay the same."""
+"""Rendezvous orders of many keys, cached while the candidates stay the same."""
 
 from __future__ import annotations
 
@@ -25,6 +25,11 @@
 
 
 def test_an_order_is_computed_once_until_the_candidates_change() -> None:
+    """Each draw of a request with a key computed the order of the whole fleet anew.
+
+    It showed as CPU: a cached order costs a fifth of a new one. An order must be computed once for each key,
+    and again only after the endpoint list has changed.
+    """
     orders = RendezvousOrders[str, Candidate]()
     first = orders.order(GROUPS, "all", 3)
     assert orders.order(GROUPS, "all", 3) is first
@@ -32,6 +37,11 @@
 
 
 def test_orders_are_forgotten_once_there_are_too_many() -> None:
+    """A client sends each request with a key of its own.
+
+    Cached orders of all of them, each as long as the fleet, would grow until the process is out of memory.
+    The number of cached orders is bounded: past it they are computed anew.
+    """
     orders = RendezvousOrders[str, Candidate]()
     first = orders.order(GROUPS, "few", 0)
     for key in range(1, MAX_ORDERS + 1):
--- a/tests/scheduler/test_throughput.py
+++ b/tests/scheduler/test_throughput.py
@@ -1,4 +1,4 @@
-"""How fast types of workers are beside each other."""
+"""How fast worker types are beside each other."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from locktide.scheduler.estimators.throughput import ThroughputEstimator
 
 
-def test_speeds_are_in_parts_of_the_fastest_type() -> None:
+def test_speeds_are_fractions_of_the_fastest_type() -> None:
     throughput = ThroughputEstimator()
     for _ in range(1000):
         throughput.add("box", 0.5, 0)
@@ -17,6 +17,11 @@
 
 
 def test_a_single_run_does_not_decide() -> None:
+    """The first request at a worker type happened to be a heavy one.
+
+    By that run alone its type would count as four times slower and get a sixteenth of the draws. Two ends at
+    the usual run come first, so that a single end halves the speed at most.
+    """
     throughput = ThroughputEstimator()
     throughput.add("box", 1.0, 0)
     throughput.add("crate", 4.0, 0)
--- a/tests/scheduler/test_token_bucket.py
+++ b/tests/scheduler/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""Tokens that come at a rate and are taken one by one."""
+"""Tokens that are added at a rate and taken one by one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,12 @@
     assert [bucket.take(2.0, 3.0, 100 * SECOND) for _ in range(4)] == [True, True, True, False]
 
 
-def test_a_capacity_that_has_shrunk_holds_at_once() -> None:
+def test_a_capacity_that_has_shrunk_counts_at_once() -> None:
+    """A tenant's share of its quota is cut while its bucket is full of tokens of the larger share.
+
+    Taken one by one these would exceed the quota of all dispatchers together. The smaller capacity must cut
+    the level at the next request.
+    """
     bucket = TokenBucket(5.0, 0)
     assert not bucket.take(0.0, 0.5, 0)
     assert bucket.level == 0.5
