--- a/locktide/scheduler/policy/concurrency_limit.py
+++ b/locktide/scheduler/policy/concurrency_limit.py
@@ -1,6 +1,6 @@
 """The concurrency limit c of each endpoint: how many slots of ours may be in flight there."""
 
-from locktide.scheduler.state import Attempt, Endpoint, SchedulerState
+from locktide.scheduler.state import ActiveConfig, Attempt, Clock, Endpoint, FleetEstimates
 from locktide.scheduler.types import Effect
 
 
@@ -18,23 +18,23 @@
 class ConcurrencyLimiter:
     """Learns the limits from prompt and late starts."""
 
-    def __init__(self, state: SchedulerState) -> None:
-        self._state = state
+    def __init__(self, clock: Clock, config: ActiveConfig, estimates: FleetEstimates) -> None:
+        self._clock = clock
+        self._config = config
+        self._estimates = estimates
 
     def configure(self) -> None:
         """Takes over the configuration."""
-        state, classes = self._state, self._state.service_classes.values()
-        # A quarter of the shortest objective: later is late, as little is left.
-        state.prompt_start = min([each.latency_objective for each in classes]) // 4
+        classes = self._config.service_classes.values()
         self._some_at_most_once = any([each.effect == Effect.AT_MOST_ONCE for each in classes])
 
     def minimum(self) -> float:
         """The least limit: our share of the slots, or one request while all minima hold three a slot."""
         # Guards against two that cut each other to one, and seventeen with no gate. Twice the share where all
         # work may move on from a queue: others leave some of theirs unused.
-        share = self._state.slots_per_endpoint * self._state.dispatcher_share
+        share = self._estimates.slots_per_endpoint * self._config.dispatcher_share
         # Ratings tell what others hold there, and rests would waste kept connections.
-        if self._state.config.endpoint_list.live_ratings:
+        if self._config.current.endpoint_list.live_ratings:
             return max(1.0, share)
         return max(share if self._some_at_most_once else 2.0 * share, min(1.0, 3.0 * share))
 
@@ -54,12 +54,12 @@
         # we stay away so long that our own work in flight there is the limit on average.
         limit = endpoint.concurrency_limit
         if not endpoint.in_flight and limit < 1.0:
-            endpoint.resting_until = self._state.now + int(stay * (1.0 / limit - 1.0))
+            endpoint.resting_until = self._clock.now + int(stay * (1.0 / limit - 1.0))
 
     def on_full(self, endpoint: Endpoint, run_time: float) -> None:
         """Guards against one that turns all away, so has nothing of ours, and draws all that waits."""
-        endpoint.unavailable_until = self._state.now + int(run_time)
+        endpoint.unavailable_until = self._clock.now + int(run_time)
 
     def on_refused(self, endpoint: Endpoint) -> None:
         """Guards against spinning on what refuses: as long as a connection may take, we ask for no other."""
-        endpoint.unavailable_until = max(endpoint.unavailable_until, self._state.now + 250_000)
+        endpoint.unavailable_until = max(endpoint.unavailable_until, self._clock.now + 250_000)
--- a/locktide/scheduler/policy/load_ratings.py
+++ b/locktide/scheduler/policy/load_ratings.py
@@ -5,7 +5,7 @@
 from locktide.scheduler.events import EndpointEntry
 from locktide.scheduler.log_events import WorkerSuspected
 from locktide.scheduler.policy.outlier_detection import STALE_AFTER
-from locktide.scheduler.state import SchedulerState
+from locktide.scheduler.state import ActiveConfig, CommandBuffer, EndpointTable, FleetEstimates
 from locktide.scheduler.state.load_estimator import LoadEstimator
 from locktide.scheduler.types import SuspicionReason
 
@@ -20,23 +20,33 @@
     be everyone's. Size squared over the cube of what is held: other powers scored less.
     """
 
-    def __init__(self, state: SchedulerState) -> None:
-        self._state, self._estimator = state, LoadEstimator()
+    def __init__(
+        self,
+        *,
+        config: ActiveConfig,
+        endpoints: EndpointTable,
+        estimates: FleetEstimates,
+        commands: CommandBuffer,
+    ) -> None:
+        self._config = config
+        self._endpoints = endpoints
+        self._estimates = estimates
+        self._commands = commands
+        self._estimator = LoadEstimator()
         self._exclusive_types: set[str | None] = set()
 
     def configure(self) -> None:
         """Takes over the configuration; without live ratings what they told is forgotten."""
-        state = self._state
         # Worker types to which a service class is bound alone.
-        self._exclusive_types = {each.worker_type for each in state.known_service_classes.values()}
-        if not state.config.endpoint_list.live_ratings:
-            state.mean_load = 0.0
-            for endpoint in state.endpoints.values():
+        self._exclusive_types = {each.worker_type for each in self._config.known_service_classes.values()}
+        if not self._config.current.endpoint_list.live_ratings:
+            self._estimates.mean_load = 0.0
+            for endpoint in self._endpoints.by_id.values():
                 endpoint.reset_rating()
 
     def update(self, entries: list[EndpointEntry]) -> None:
         """Takes over the ratings of an update."""
-        costs, endpoints = self._state.config.costs, self._state.endpoints
+        costs, endpoints = self._config.current.costs, self._endpoints.by_id
         renewed = self._estimator.update(endpoints, entries)
         cross_zone_weight = exp(-costs.cross_zone / COST_SCALE)
         for entry in entries:
@@ -51,12 +61,11 @@
         self._suspect_stale(renewed)
 
     def _suspect_stale(self, renewed: int) -> None:
-        state = self._state
-        ready = state.candidates.get(None, [])
+        ready = self._endpoints.candidates.get(None, [])
         if 2 * renewed > len(ready):
             for endpoint in ready:
                 # Guards against one that takes work and does none: its rating stands still.
                 endpoint.stale_ratings += endpoint.load > 0.0
                 if endpoint.stale_ratings == STALE_AFTER:
-                    state.log(WorkerSuspected(endpoint.id, SuspicionReason.STALE_RATING))
-        state.mean_load = sum([endpoint.load for endpoint in ready]) / max(1, len(ready))
+                    self._commands.log(WorkerSuspected(endpoint.id, SuspicionReason.STALE_RATING))
+        self._estimates.mean_load = sum([endpoint.load for endpoint in ready]) / max(1, len(ready))
--- a/locktide/scheduler/policy/quotas.py
+++ b/locktide/scheduler/policy/quotas.py
@@ -4,7 +4,7 @@
 
 from locktide.scheduler.estimators.token_bucket import TokenBucket
 from locktide.scheduler.events import QuotaSharesUpdated, QuotaStage
-from locktide.scheduler.state import SchedulerState
+from locktide.scheduler.state import ActiveConfig, Clock
 from locktide.scheduler.types import QuotaCoverage
 
 OWN, BORROWED, BEYOND = QuotaCoverage.OWN, QuotaCoverage.BORROWED, QuotaCoverage.BEYOND
@@ -15,12 +15,13 @@
 class TenantQuotas:
     """A token bucket for each tenant, filled at our share of its quota."""
 
-    def __init__(self, state: SchedulerState) -> None:
-        self._state = state
+    def __init__(self, clock: Clock, config: ActiveConfig) -> None:
+        self._clock = clock
+        self._config = config
 
     def configure(self) -> None:
         """Starts anew from the configured quotas and even shares."""
-        config, self.shares = self._state.config, QuotaSharesUpdated([])
+        config, self.shares = self._config.current, QuotaSharesUpdated([])
         self._quotas, dispatchers = config.quotas.quotas, config.dispatcher_count
         self.buckets = {
             tenant: TokenBucket(BURST * quota / dispatchers, 0) for tenant, quota in self._quotas.items()
@@ -29,15 +30,15 @@
 
     def stage(self) -> QuotaStage:
         """The stage of the agreed shares that is in force now."""
-        now = self._state.now
+        now = self._clock.now
         return next((stage for stage in self.shares.stages if now < stage.until), NO_STAGE)
 
     def cover(self, tenant: Any) -> QuotaCoverage:
         """By what one more request of the tenant is covered, which that uses up."""
         if (bucket := self.buckets.get(tenant)) is None:
             return OWN
-        now, stage, quota = self._state.now, self.stage(), self._quotas[tenant]
-        share = stage.shares.get(tenant, self._state.dispatcher_share)
+        now, stage, quota = self._clock.now, self.stage(), self._quotas[tenant]
+        share = stage.shares.get(tenant, self._config.dispatcher_share)
         rate = quota * share
         is_within = bucket.take(rate, BURST * rate + 1.0, now)
         if now < self.shares.over_fair_share_until and tenant in self.shares.over_fair_share:
--- a/locktide/scheduler/policy/retries.py
+++ b/locktide/scheduler/policy/retries.py
@@ -2,7 +2,7 @@
 
 from locktide.scheduler.commands import CancelAttempt
 from locktide.scheduler.policy.repeat_rules import repeats_until
-from locktide.scheduler.state import Attempt, Request, SchedulerState
+from locktide.scheduler.state import ActiveConfig, Attempt, Clock, CommandBuffer, Request
 
 MAX_RETRY_BUDGET = 10.0  # ten let a dispatcher meet a sudden trouble at once
 
@@ -10,16 +10,19 @@
 class RetryPolicy:
     """Keeps the retry budget, and cancels attempts in whose place a retry pays."""
 
-    def __init__(self, state: SchedulerState) -> None:
-        self._state, self._budget = state, MAX_RETRY_BUDGET
+    def __init__(self, clock: Clock, config: ActiveConfig, commands: CommandBuffer) -> None:
+        self._clock = clock
+        self._config = config
+        self._commands = commands
+        self._budget = MAX_RETRY_BUDGET
 
     def may_attempt(self, request: Request) -> bool:
         """Whether one more attempt of the request is allowed at all."""
-        if len(request.attempts) - request.uncounted_attempts >= self._state.config.retry.max_attempts:
+        if len(request.attempts) - request.uncounted_attempts >= self._config.current.retry.max_attempts:
             return False
         if not request.possibly_executed:
             return True
-        return not request.is_at_most_once and not 0 < repeats_until(request) <= self._state.now
+        return not request.is_at_most_once and not 0 < repeats_until(request) <= self._clock.now
 
     def on_sent(self, attempt: Attempt) -> None:
         """Takes a retry from the budget."""
@@ -40,7 +43,7 @@
         # Guards against giving up a job for which nobody waits, as four workers at once had no room; and
         # against using up all attempts within milliseconds where a zone is lost and only the lost may have
         # what may have run. Both wait until there is one.
-        request, is_free = attempt.request, is_unsent and not self._state.config.retry.counts_unsent
+        request, is_free = attempt.request, is_unsent and not self._config.current.retry.counts_unsent
         request.uncounted_attempts += is_free or request.is_background
         if is_free and not request.is_background:
             self._budget += attempt.is_retry
@@ -50,12 +53,12 @@
         """Makes room for a retry in the place of an attempt in doubt, while such ones pay."""
         request = attempt.request
         # Guards against giving up a place for a worse one: bound work waits until it is as good as lost.
-        is_lost = attempt.started_at or self._state.now >= attempt.presumed_lost_at
+        is_lost = attempt.started_at or self._clock.now >= attempt.presumed_lost_at
         is_bound = not request.is_idempotent and not is_lost
         if self.may_attempt(request) and self._budget >= 1.0 and not is_bound:
             self.cancel(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancels an attempt, where that can be done."""
-        if self._state.config.retry.can_cancel:
-            self._state.commands.append(CancelAttempt(attempt.request.id, attempt.number))
+        if self._config.current.retry.can_cancel:
+            self._commands.add(CancelAttempt(attempt.request.id, attempt.number))
--- a/locktide/scheduler/scheduler.py
+++ b/locktide/scheduler/scheduler.py
@@ -5,6 +5,7 @@
 
 from locktide.scheduler.commands import Command
 from locktide.scheduler.config import SchedulerConfig
+from locktide.scheduler.estimators.key_frequencies import KeyFrequencies
 from locktide.scheduler.estimators.random import LinearCongruentialGenerator
 from locktide.scheduler.events import (
     AttemptEnded,
@@ -23,6 +24,7 @@
 from locktide.scheduler.policy.admission import Admission
 from locktide.scheduler.policy.affinity import AffinityRouter
 from locktide.scheduler.policy.attempt_outcomes import AttemptOutcomes
+from locktide.scheduler.policy.attempt_timeouts import AttemptTimeouts
 from locktide.scheduler.policy.concurrency_limit import ConcurrencyLimiter
 from locktide.scheduler.policy.endpoint_list import EndpointList
 from locktide.scheduler.policy.load_ratings import LoadRatings
@@ -34,7 +36,20 @@
 from locktide.scheduler.policy.retries import RetryPolicy
 from locktide.scheduler.policy.rounds import Rounds
 from locktide.scheduler.policy.slow_start import SlowStartBudget
-from locktide.scheduler.state import Attempt, SchedulerState, TimerPurpose
+from locktide.scheduler.state import (
+    ActiveConfig,
+    Attempt,
+    Clock,
+    CommandBuffer,
+    EndpointTable,
+    FleetEstimates,
+    InternalErrors,
+    OpenAttempts,
+    RequestPool,
+    TimerPurpose,
+    Timers,
+)
+from locktide.scheduler.state.recovery import AttemptRecovery
 
 ROUND = TimerPurpose.ROUND  # bound once: an access through the enum class costs 0.2 to 0.3 us
 EventT = TypeVar("EventT", bound=Event)
@@ -47,42 +62,146 @@
     """One dispatcher's decisions: `step` takes events and returns commands. It has no I/O and no clock."""
 
     def __init__(self, seed: int, config: SchedulerConfig) -> None:
-        state = self.state = SchedulerState(config, LinearCongruentialGenerator(seed))
-        self.limiter, self.load_shedder = ConcurrencyLimiter(state), LoadShedder(state)
-        self.quotas, self.load_ratings = TenantQuotas(state), LoadRatings(state)
-        self.outliers, retries, slow_start = (
-            OutlierDetector(state),
-            RetryPolicy(state),
-            SlowStartBudget(state),
-        )
-        lifecycle = RequestLifecycle(state, self.load_shedder, retries, slow_start)
-        self.placement = Placement(state, lifecycle, self.outliers, slow_start, AffinityRouter(state))
-        self.rounds = Rounds(state, lifecycle, self.load_shedder, self.placement)
-        self.endpoint_list = EndpointList(state, self.limiter, self.load_ratings)
-        self.admission = Admission(state, lifecycle, self.load_shedder, self.quotas)
-        self.outcomes = AttemptOutcomes(state, lifecycle, retries, self.limiter, self.outliers)
+        self._create_state(seed, config)
+        self._create_policies()
         # Streams and probes have no handler: no decision rests on them yet.
         self._handlers: dict[type, Callable[[Any], None]] = {}
         self._register_handlers()
-        self._configure(config)
+        self._configure()
 
     def step(self, now: int, events: Sequence[Event]) -> list[Command]:
-        """Takes events in at the moment `now` (microseconds); the commands are to be executed at once."""
-        state = self.state
-        state.now = now
-        state.commands = []
+        """Take in events at the moment `now` (microseconds); the commands are to be executed at once."""
+        self.clock.now = now
+        self._commands.clear()
         for event in events:
             handler = self._handlers.get(type(event))
             if handler is None:
                 continue
-            target = state.timers.get(event.timer_id) if type(event) is TimerFired else None
+            target = self.timers.pending.get(event.timer_id) if type(event) is TimerFired else None
             try:
                 handler(event)
             except Exception:  # protects the other events: a fault of ours costs one event or request
-                state.report_internal_error(request_concerned(target or event))
+                self._errors.report(request_concerned(target or event))
         self.endpoint_list.poll_when_due()
         self.rounds.run()
-        return state.commands
+        return self._commands.collected()
+
+    def _create_state(self, seed: int, config: SchedulerConfig) -> None:
+        self.clock = Clock()
+        self.config = ActiveConfig(config)
+        self.random = LinearCongruentialGenerator(seed)
+        self._commands = CommandBuffer()
+        self.timers = Timers(self._commands)
+        self.endpoints = EndpointTable()
+        self.requests = RequestPool()
+        self._attempts = OpenAttempts(self.clock, self.config)
+        self.estimates = FleetEstimates(self.clock, self.config)
+        self._key_frequencies = KeyFrequencies()
+        self._errors = InternalErrors(self._commands, self.requests)
+
+    def _create_policies(self) -> None:
+        self.timeouts = AttemptTimeouts(self.config)
+        self.limiter = ConcurrencyLimiter(self.clock, self.config, self.estimates)
+        self.quotas = TenantQuotas(self.clock, self.config)
+        self.load_shedder = LoadShedder(
+            clock=self.clock,
+            config=self.config,
+            requests=self.requests,
+            attempts=self._attempts,
+            estimates=self.estimates,
+            commands=self._commands,
+        )
+        self.load_ratings = LoadRatings(
+            config=self.config, endpoints=self.endpoints, estimates=self.estimates, commands=self._commands
+        )
+        self.outliers = OutlierDetector(
+            clock=self.clock, random=self.random, endpoints=self.endpoints, commands=self._commands
+        )
+        self.retries = RetryPolicy(self.clock, self.config, self._commands)
+        self.slow_start = SlowStartBudget(
+            clock=self.clock,
+            config=self.config,
+            random=self.random,
+            endpoints=self.endpoints,
+            estimates=self.estimates,
+        )
+        self.lifecycle = RequestLifecycle(
+            clock=self.clock,
+            config=self.config,
+            requests=self.requests,
+            attempts=self._attempts,
+            estimates=self.estimates,
+            timers=self.timers,
+            commands=self._commands,
+            timeouts=self.timeouts,
+            shedder=self.load_shedder,
+            retries=self.retries,
+            slow_start=self.slow_start,
+        )
+        self.placement = Placement(
+            clock=self.clock,
+            config=self.config,
+            random=self.random,
+            endpoints=self.endpoints,
+            estimates=self.estimates,
+            timeouts=self.timeouts,
+            lifecycle=self.lifecycle,
+            outliers=self.outliers,
+            slow_start=self.slow_start,
+            affinity=AffinityRouter(
+                clock=self.clock,
+                endpoints=self.endpoints,
+                estimates=self.estimates,
+                key_frequencies=self._key_frequencies,
+            ),
+        )
+        self.rounds = Rounds(
+            clock=self.clock,
+            config=self.config,
+            requests=self.requests,
+            endpoints=self.endpoints,
+            estimates=self.estimates,
+            timers=self.timers,
+            errors=self._errors,
+            timeouts=self.timeouts,
+            lifecycle=self.lifecycle,
+            shedder=self.load_shedder,
+            placement=self.placement,
+        )
+        self.endpoint_list = EndpointList(
+            clock=self.clock,
+            config=self.config,
+            random=self.random,
+            endpoints=self.endpoints,
+            timers=self.timers,
+            commands=self._commands,
+            limiter=self.limiter,
+            ratings=self.load_ratings,
+        )
+        self.admission = Admission(
+            clock=self.clock,
+            config=self.config,
+            requests=self.requests,
+            recovery=AttemptRecovery(self.endpoints, self._attempts),
+            key_frequencies=self._key_frequencies,
+            lifecycle=self.lifecycle,
+            shedder=self.load_shedder,
+            quotas=self.quotas,
+        )
+        self.outcomes = AttemptOutcomes(
+            clock=self.clock,
+            config=self.config,
+            requests=self.requests,
+            attempts=self._attempts,
+            estimates=self.estimates,
+            timers=self.timers,
+            timeouts=self.timeouts,
+            endpoint_list=self.endpoint_list,
+            lifecycle=self.lifecycle,
+            retries=self.retries,
+            limiter=self.limiter,
+            outliers=self.outliers,
+        )
 
     def _register_handlers(self) -> None:
         self._handle(EndpointListUpdate, self.endpoint_list.on_update)
@@ -101,10 +220,12 @@
         self._handlers[event_type] = handler
 
     def _on_config_reloaded(self, event: ConfigReloaded) -> None:
-        self._configure(event.config)
+        self.config.replace(event.config)
+        self._configure()
 
-    def _configure(self, config: SchedulerConfig) -> None:
-        self.state.set_config(config)
+    def _configure(self) -> None:
+        self.estimates.configure()
+        self.timeouts.configure()
         self.limiter.configure()
         self.load_shedder.configure()
         self.quotas.configure()
@@ -113,7 +234,7 @@
         self.endpoint_list.rebuild_candidates()
 
     def _on_timer(self, event: TimerFired) -> None:
-        target = self.state.timers.pop(event.timer_id, None)
+        target = self.timers.pending.pop(event.timer_id, None)
         if target is ROUND:
             self.rounds.on_timer()
         elif isinstance(target, Attempt) and target in target.request.in_flight:
--- /dev/null
+++ b/locktide/scheduler/state/open_attempts.py
@@ -0,0 +1,51 @@
+"""Attempts in flight: what each takes up at its endpoint while it has no outcome."""
+
+from __future__ import annotations
+
+from locktide.scheduler.state.active_config import ActiveConfig
+from locktide.scheduler.state.attempt import Attempt
+from locktide.scheduler.state.clock import Clock
+from locktide.scheduler.state.endpoint import Endpoint
+from locktide.scheduler.state.request import Request
+
+
+class OpenAttempts:
+    """Opens and closes attempts, and counts what is in flight."""
+
+    __slots__ = ("slots", "_clock", "_config")
+
+    def __init__(self, clock: Clock, config: ActiveConfig) -> None:
+        self._clock = clock
+        self._config = config
+        self.slots = 0.0  # of ours in flight, on all endpoints together
+
+    def open(self, request: Request, endpoint: Endpoint) -> Attempt:
+        """Count a new attempt as in flight."""
+        attempt = Attempt(request, len(request.attempts), endpoint, self._clock.now)
+        request.attempts.append(attempt)
+        request.possibly_executed.append(attempt)
+        self.count(attempt)
+        endpoint.unstarted[attempt] = None
+        if endpoint.idle_connections:
+            endpoint.idle_connections.pop()
+        return attempt
+
+    def count(self, attempt: Attempt) -> None:
+        """Count the slots of an attempt that has no outcome yet."""
+        request = attempt.request
+        request.in_flight.append(attempt)
+        self.slots += request.width
+        attempt.endpoint.in_flight += request.width
+
+    def close(self, attempt: Attempt, keeps_connection: bool) -> None:
+        """Count an attempt as ended; its connection may be free for another one now."""
+        request = attempt.request
+        endpoint = attempt.endpoint
+        request.in_flight.remove(attempt)
+        self.slots -= request.width
+        endpoint.in_flight -= request.width
+        if keeps_connection:
+            now = self._clock.now
+            idle = [until for until in endpoint.idle_connections if until > now]
+            idle.append(now + self._config.current.costs.idle_timeout)
+            endpoint.idle_connections = idle
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -187,7 +187,7 @@
 
 def covered(made: Checked) -> str:
     """Return by what one more request is covered."""
-    made.dispatcher.state.now = made.now
+    made.dispatcher.clock.now = made.now
     return made.dispatcher.quotas.cover("dairy").value
 
 
@@ -227,7 +227,7 @@
     made.now += 1_000_000
     for number in range(4):
         made.turn(RequestArrived(f"s{number}", "record", made.now + 6_000_000, tenant="dairy"))
-    pool = made.dispatcher.state.pool
+    pool = made.dispatcher.requests.waiting
     before = [request.queue_deadline for request in pool]
     assert [request.borrowing_tenant for request in pool] == ["dairy"] * 4
     made.turn(QuotaSharesUpdated([QuotaStage(1 << 62, {"dairy": 0.0}, {"dairy": 0.5})]))
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -435,8 +435,8 @@
         first.reply(202)
         play.call("a", "w0", "returned")
         await play.settle()
-        held, state = play.node.open_requests["a"], play.node.scheduler.state
-        state.endpoints["w0"].unavailable_until = state.requests["a"].not_before = 0
+        held, scheduler = play.node.open_requests["a"], play.node.scheduler
+        scheduler.endpoints.by_id["w0"].unavailable_until = scheduler.requests.open["a"].not_before = 0
         await until(lambda: len(held.attempts) == 2)  # there is nowhere else to go
         await play.settle()
         assert play.asked[-1].build() is not None
@@ -517,9 +517,9 @@
     """Four spans of `ask_within` were allowed after it, and used: up to ten seconds by a list from before."""
     for seed in range(20):
         service = Checked(seed, must_ask=True)
-        state = service.dispatcher.state
-        listing = replace(state.config.endpoint_list, notified_within=6_000_000)
-        state.config = replace(state.config, endpoint_list=listing)
+        config = service.dispatcher.config
+        listing = replace(config.current.endpoint_list, notified_within=6_000_000)
+        config.current = replace(config.current, endpoint_list=listing)
         service.list(listed("w0"), kind=ListUpdateKind.CACHED)
         while WatchEndpoints(True) not in service.pass_time(100_000):
             pass
@@ -541,9 +541,9 @@
 
         listening = await asyncio.start_server(silent, "127.0.0.1", 0)
         listing = EndpointListConfig(True, 10_000_000, notified_within=200_000)
-        state = play.node.scheduler.state
+        config = play.node.scheduler.config
         play.node.settings.endpoint_list = listing
-        state.config = replace(state.config, endpoint_list=listing)
+        config.current = replace(config.current, endpoint_list=listing)
         play.node.settings.discovery = listening.sockets[0].getsockname()
         play.node.follower.watch(play.node.follower.follow())
         await until(lambda: len(calls) == 2)
@@ -572,7 +572,7 @@
         sound = getattr(mechanism, where)
 
         def faulty(*given: Any) -> Any:
-            request = given[0] if where == "queue_timeout" else scheduler.state.pool[0]
+            request = given[0] if where == "queue_timeout" else scheduler.requests.waiting[0]
             if request.id == "poor":
                 raise ValueError("out of sorts")
             return sound(*given)
@@ -599,7 +599,7 @@
         scheduler.outcomes.check = faulty
         answer = play.node.submit(submission("a"))
         (await play.sent("a")).reply(202)
-        timers = scheduler.state.timers
+        timers = scheduler.timers.pending
         mark = next(mark for mark, target in timers.items() if target is not TimerPurpose.ROUND)
         play.node.enqueue_event(TimerFired(mark))
         await play.settle()
@@ -607,7 +607,7 @@
         assert play.asked[-1].build().method == "DELETE"  # type: ignore[union-attr]
         play.asked[-1].reply(204)
         await play.settle()
-        assert not play.node.open_requests and not scheduler.state.requests
+        assert not play.node.open_requests and not scheduler.requests.open
 
     played(story)
 
--- a/tests/dispatcher/test_many_dispatchers.py
+++ b/tests/dispatcher/test_many_dispatchers.py
@@ -34,8 +34,8 @@
     service, events = CallCapacity(150_000, 2_000_000), []
     fleet = [Scheduler(seed * 100 + me, terms(4, 40, True, False, 0.4)) for me in range(40)]
     for one in fleet:
-        listing = replace(one.state.config.endpoint_list, notified_within=told_within)
-        one.state.config = replace(one.state.config, endpoint_list=listing)
+        listing = replace(one.config.current.endpoint_list, notified_within=told_within)
+        one.config.current = replace(one.config.current, endpoint_list=listing)
     for me in range(40):
         heappush(events, (0, me, EndpointListUpdate(ListUpdateKind.CACHED, [listed("w")])))
     told: dict[int, int] = {}
@@ -90,8 +90,8 @@
 def test_what_only_a_lost_zone_may_have_waits_for_it_and_spins_on_nothing() -> None:
     """Bound to a cell in a lost zone, submissions used up three dispatches in 4 ms and were terminated."""
     service = Checked(fleet=40)
-    state = service.dispatcher.state
-    state.config = replace(state.config, retry=replace(state.config.retry, counts_unsent=False))
+    config = service.dispatcher.config
+    config.current = replace(config.current, retry=replace(config.current.retry, counts_unsent=False))
     names = ["w0", "w1", "w2"]
     service.list(*[listed(name) for name in names])
     service.arrive(1, "record")
@@ -135,8 +135,8 @@
 
 def set_endpoint_list_config(player: HandPlayed, config: EndpointListConfig) -> None:
     player.node.settings.endpoint_list = config
-    state = player.node.scheduler.state
-    state.config = replace(state.config, endpoint_list=config)
+    active = player.node.scheduler.config
+    active.current = replace(active.current, endpoint_list=config)
 
 
 async def agent(answers: list[bytes], heard: list[str]) -> asyncio.Server:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -256,7 +256,7 @@
         counted = self.dispatches[order.request_id]
         if arrival.background:
             counted = [shot for shot in counted if shot["outcome"] not in PROVEN_NOT_RUN]
-        elif not self.dispatcher.state.config.retry.counts_unsent:
+        elif not self.dispatcher.config.current.retry.counts_unsent:
             counted = [shot for shot in counted if shot["outcome"] not in UNSENT]
         assert len(counted) < self.most
         assert all(shot["outcome"] for shot in held), "two dispatches at once"
@@ -274,7 +274,7 @@
             sent = self.cold.setdefault((order.worker, worker.started_at), [])
             sent.append((self.now, arrival.width * arrival.work_hint))
             lately = sum(work for at, work in sent if at > self.now - COLD.window)
-            slots = self.dispatcher.state.slots_per_endpoint
+            slots = self.dispatcher.estimates.slots_per_endpoint
             capacity = slots * (COLD.initial_capacity + (1.0 - COLD.initial_capacity) * age / COLD.warmup)
             whole = COLD.overload_factor * COLD.window * capacity
             # A sum that fades over a window lets through 1.63 times its level; two covers its growth. A draw
--- a/tests/scheduler/test_decisions.py
+++ b/tests/scheduler/test_decisions.py
@@ -80,7 +80,7 @@
             service.list(kind=ListUpdateKind.FETCH_FAILED)
     service.pass_time(7_000_000)
     assert set(service.answered) == set(service.arrivals)
-    assert not service.dispatcher.state.requests, "an ended submission is still held"
+    assert not service.dispatcher.requests.open, "an ended submission is still held"
 
 
 def test_same_news_same_orders() -> None:
@@ -154,9 +154,9 @@
     service.list(listed("w"))
     for submission in range(20):
         service.arrive(submission, "record")
-    before = service.dispatcher.state.random.state
+    before = service.dispatcher.random.state
     service.pass_time(STEP * 3)
-    assert service.dispatcher.state.random.state == before
+    assert service.dispatcher.random.state == before
 
 
 def test_withdrawn_work_is_not_terminated_while_it_may_still_run() -> None:
@@ -197,7 +197,7 @@
     """With every worker doubtful, shunning them all would deny everything."""
     service = Checked()
     service.list(*[listed(f"w{n}") for n in range(4)])
-    for worker in service.dispatcher.state.endpoints.values():
+    for worker in service.dispatcher.endpoints.by_id.values():
         for _ in range(5):
             service.dispatcher.outliers.record_failure(worker, "a fault of all")
     service.arrive(1, "view")
@@ -210,12 +210,12 @@
     service = Checked()
     service.arrive(1, "view")
     service.arrive(2, "record")
-    first, second = (service.dispatcher.state.requests[n] for n in (1, 2))
+    first, second = (service.dispatcher.requests.open[n] for n in (1, 2))
     assert first.queue_deadline == second.queue_deadline
     service = Checked(worst_grade=0.1)
     service.arrive(1, "view")
     service.arrive(2, "record")
-    first, second = (service.dispatcher.state.requests[n] for n in (1, 2))
+    first, second = (service.dispatcher.requests.open[n] for n in (1, 2))
     assert first.queue_deadline < second.queue_deadline
 
 
@@ -255,7 +255,7 @@
     service = Checked()
     for submission in range(40):
         service.turn(RequestArrived(submission, "view", service.now + 3_000_000, tenant="dairy"))
-    held = service.dispatcher.state.requests
+    held = service.dispatcher.requests.open
     assert held[0].queue_deadline > held[39].queue_deadline
 
 
@@ -275,7 +275,7 @@
 def test_draws_follow_the_pace_of_a_kind() -> None:
     """Slow kinds got as much as fast ones where nobody sees enough of one worker to learn its cap."""
     service = Checked(fleet=76)
-    throughput = service.dispatcher.state.throughput
+    throughput = service.dispatcher.estimates.throughput
     for _ in range(20):
         throughput.add("box", 0.5, service.now)
         throughput.add("crate", 1.5, service.now)
@@ -287,7 +287,7 @@
     """So that one that has come back is not shunned until its failures have faded, some ten seconds."""
     service = Checked(fleet=1)
     service.list(listed("w"))
-    worker = service.dispatcher.state.endpoints["w"]
+    worker = service.dispatcher.endpoints.by_id["w"]
     service.arrive(0, "view")
     service.end(0, 0, AttemptOutcome.RESET)
     records = [worker.failures.read(service.now)]
@@ -308,7 +308,7 @@
     service.turn(AttemptStarted(1, 0))
     service.pass_time(2_000_000)
     service.turn(AttemptProgressed(1, 0, 0.05))
-    assert is_suspected(service.dispatcher.state.endpoints["w"], service.now)
+    assert is_suspected(service.dispatcher.endpoints.by_id["w"], service.now)
 
 
 def test_bound_work_leaves_a_queue_in_which_it_is_lost() -> None:
@@ -324,7 +324,7 @@
     """Releases on sockets: the first dispatch to each worker seemed late, and its cap stayed at the floor."""
     service = Checked(fleet=1)
     service.list(listed("w"))
-    worker = service.dispatcher.state.endpoints["w"]
+    worker = service.dispatcher.endpoints.by_id["w"]
     before = worker.concurrency_limit = 2.0
     for submission in (1, 2):
         service.arrive(submission, "close")
@@ -349,7 +349,7 @@
     """Bad clients on sockets: what workers turned away as such cut their caps and made them doubtful."""
     service = Checked(fleet=1)
     service.list(listed("w"))
-    worker = service.dispatcher.state.endpoints["w"]
+    worker = service.dispatcher.endpoints.by_id["w"]
     worker.concurrency_limit = 3.0
     service.arrive(1, "close")
     service.end(1, 0, outcome)
@@ -365,7 +365,7 @@
     service.turn(AttemptStarted(1, 0))
     service.pass_time(1_000_000)
     service.turn(AttemptProgressed(1, 0, 0.4))  # 2.5 s in all, ten times the guess
-    assert not is_suspected(service.dispatcher.state.endpoints["w"], service.now)
+    assert not is_suspected(service.dispatcher.endpoints.by_id["w"], service.now)
 
 
 @pytest.mark.parametrize("grades, slots", [(GRADES, 1.0), (GRADES[:4], 2.0)])
@@ -375,14 +375,14 @@
     """Every day on sockets: at half load one submission in ten was denied with half of the slots free."""
     dispatcher = Scheduler(1, replace(terms(3, 2, False, 0.4), service_classes=grades))
     dispatcher.step(0, [EndpointListUpdate(ListUpdateKind.SNAPSHOT, [listed("w")])])
-    assert dispatcher.state.endpoints["w"].concurrency_limit == slots
+    assert dispatcher.endpoints.by_id["w"].concurrency_limit == slots
 
 
 def test_a_worker_that_turns_all_away_does_not_draw_all_that_waits() -> None:
     """The wide day on sockets: one worker took no views, so it was the emptiest and had each thrice."""
     service = Checked(fleet=1)
     service.list(listed("w0"), listed("w1"))
-    workers = service.dispatcher.state.endpoints
+    workers = service.dispatcher.endpoints.by_id
     service.arrive(1, "view")
     first = workers[service.dispatches[1][0]["worker"]]
     service.end(1, 0, AttemptOutcome.FULL)
@@ -400,7 +400,7 @@
     service = Checked(fleet=1)
     service.list(listed("w0"), listed("w1"))
     service.arrive(1, "cash")
-    for worker in service.dispatcher.state.endpoints.values():
+    for worker in service.dispatcher.endpoints.by_id.values():
         worker.resting_until = service.now + 950_000  # so that it has to wait where it is back
     service.pass_time(900_000)
     service.end(1, 0, AttemptOutcome.NO_CONNECTION)
@@ -448,7 +448,7 @@
 def test_a_refused_connection_does_not_shorten_the_rest_after_full() -> None:
     service = Checked()
     service.list(listed("w"))
-    worker = service.dispatcher.state.endpoints["w"]
+    worker = service.dispatcher.endpoints.by_id["w"]
     worker.concurrency_limit = 2.0
     service.arrive(1, "record")
     service.arrive(2, "record")
@@ -483,7 +483,7 @@
         else:
             done += service.answered.get(submission) == "done"  # a good one of that tenant is served
     assert done == 30
-    workers = service.dispatcher.state.endpoints.values()
+    workers = service.dispatcher.endpoints.by_id.values()
     assert not any(is_suspected(worker, service.now) for worker in workers)
     assert max(worker.failures.read(service.now) for worker in workers) < 0.01
 
@@ -500,7 +500,7 @@
                     bad = one % 2 == 0 or service.dispatches[one][shot]["worker"] == "w0"
                     service.end(one, shot, AttemptOutcome.ERROR if bad else AttemptOutcome.DONE)
     doubted = [
-        name for name, one in service.dispatcher.state.endpoints.items() if is_suspected(one, service.now)
+        name for name, one in service.dispatcher.endpoints.by_id.items() if is_suspected(one, service.now)
     ]
     assert doubted == ["w0"]
 
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -55,8 +55,8 @@
     assert [sub for sub, _ in made.out()] == [2]
     made.list(here, replace(there, state=EndpointState.READY))
     made.pass_time(40_000)
-    worker = made.dispatcher.state.requests[1].attempts[0].endpoint
-    assert worker.id == "w1" and len(made.dispatcher.state.requests[1].attempts) == 1
+    worker = made.dispatcher.requests.open[1].attempts[0].endpoint
+    assert worker.id == "w1" and len(made.dispatcher.requests.open[1].attempts) == 1
 
 
 def test_resting_connections_are_closed_at_the_notice_and_after_each_end_there() -> None:
--- a/tests/scheduler/test_ratings_and_reload.py
+++ b/tests/scheduler/test_ratings_and_reload.py
@@ -106,7 +106,7 @@
         service.list(listed("w0", rating=4.5), kind=ListUpdateKind.DELTA)
         service.list(*rated({"w0": 4.5, "w1": 5.0, "w2": 6.0}))  # whole, as after a reload, and nothing new
     assert not any(
-        is_suspected(worker, service.now) for worker in service.dispatcher.state.endpoints.values()
+        is_suspected(worker, service.now) for worker in service.dispatcher.endpoints.by_id.values()
     )
 
 
@@ -129,7 +129,7 @@
         begun = service.now - 3_000_000
         service.list(*[listed(name, started_at=begun, rating=8.0) for name in names])
         for name in names[1:]:  # each has answered 'full'
-            service.dispatcher.state.endpoints[name].unavailable_until = service.now + 5_000_000
+            service.dispatcher.endpoints.by_id[name].unavailable_until = service.now + 5_000_000
         for submission in range(8):
             service.arrive(submission, "view", hint=300_000)
         service.pass_time(500_000)
@@ -246,9 +246,11 @@
     service.list(*rated({"w0": 8.0, "w1": 8.0}))
     service.turn(ConfigReloaded(THERE))
     service.list(*rated({"w0": 2.0, "w1": 8.0}), kind=ListUpdateKind.DELTA)
-    assert service.dispatcher.state.endpoints["w0"].load == 3.0 and service.dispatcher.state.mean_load == 1.5
+    assert (
+        service.dispatcher.endpoints.by_id["w0"].load == 3.0 and service.dispatcher.estimates.mean_load == 1.5
+    )
     orders = service.turn(ConfigReloaded(HERE))
-    assert service.dispatcher.state.endpoints["w0"].load == service.dispatcher.state.mean_load == 0.0
+    assert service.dispatcher.endpoints.by_id["w0"].load == service.dispatcher.estimates.mean_load == 0.0
     assert not [order for order in orders if type(order) is WatchEndpoints]
 
 
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -154,18 +154,18 @@
 
     def begin(self, one: int, number: int, name: str) -> None:
         self.running[name] += 1
-        place = len(self.fleet[one].state.requests[number].attempts) - 1
+        place = len(self.fleet[one].requests.open[number].attempts) - 1
         self.tell(one, AttemptStarted(number, place))
         took = int(self.work[number] / self.speed[name] / self.warmth(name))
         self.at(self.now + took, self.end, one, number, place, name)
 
     def end(self, one: int, number: int, place: int, name: str) -> None:
         self.running[name] -= 1
-        if number in self.fleet[one].state.requests:
+        if number in self.fleet[one].requests.open:
             self.tell(one, AttemptEnded(number, place, AttemptOutcome.DONE, True))
         while self.queue[name] and self.running[name] < SLOTS:
             other, waiting = self.queue[name].pop(0)
-            if waiting in self.fleet[other].state.requests:
+            if waiting in self.fleet[other].requests.open:
                 self.begin(other, waiting, name)
 
     def give_up(self, one: int, order: CancelAttempt) -> None:
