--- a/locktide/dispatcher/attempts.py
+++ b/locktide/dispatcher/attempts.py
@@ -112,12 +112,12 @@
         if has_ended or is_late or not self.endpoints.accepts_requests(attempt.worker):
             return None
         attempt.reach(AttemptStage.SENDING)
-        return worker_messages.job(request.message, time_left, attempt.fence)
+        return worker_messages.job_request(request.message, time_left, attempt.fence)
 
     def _apply_result(
         self, request: OpenRequest, attempt: OpenAttempt, result: UpstreamResponse | str
     ) -> None:
-        outcome = worker_messages.outcome(result) if isinstance(result, UpstreamResponse) else result
+        outcome = worker_messages.response_outcome(result) if isinstance(result, UpstreamResponse) else result
         is_untrusted = attempt.was_accepted and outcome in UNTRUSTED_ONCE_ACCEPTED
         if outcome == TransportFailure.INVALID_RESPONSE or is_untrusted:
             # Guards against a second copy: the worker has it, or may, whatever became of its reply.
--- a/locktide/dispatcher/callbacks.py
+++ b/locktide/dispatcher/callbacks.py
@@ -10,7 +10,7 @@
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.dispatcher.scheduler_bridge import SchedulerBridge
 from locktide.protocol import names
-from locktide.protocol.server_connection import Callback
+from locktide.protocol.messages import Callback
 from locktide.scheduler.events import AttemptProgressed, AttemptStarted
 from locktide.scheduler.types import AttemptOutcome
 from locktide.transport.client_connection import Response
--- a/locktide/dispatcher/cancellation.py
+++ b/locktide/dispatcher/cancellation.py
@@ -84,7 +84,7 @@
     `within` is in seconds, as long as a connection and its reply may take: a silent worker must not hold up
     the others.
     """
-    message = worker_messages.withdrawal(cancellation.request_id)
+    message = worker_messages.cancel_request(cancellation.request_id)
     wholly_sent = False
 
     def note_sent() -> None:
--- a/locktide/dispatcher/dispatcher.py
+++ b/locktide/dispatcher/dispatcher.py
@@ -24,7 +24,7 @@
 from locktide.dispatcher.scheduler_log import emit_log_event
 from locktide.dispatcher.settings import DispatcherSettings, with_socket_settings
 from locktide.protocol.discovery import DiscoveryUpdate
-from locktide.protocol.server_connection import Callback, JobQuery, SubmitRequest
+from locktide.protocol.messages import Callback, JobQuery, SubmitRequest
 from locktide.scheduler import commands
 from locktide.scheduler.events import EndpointListUpdate, RecoveredAttempt
 from locktide.scheduler.scheduler import Scheduler
--- a/locktide/dispatcher/records.py
+++ b/locktide/dispatcher/records.py
@@ -5,7 +5,7 @@
 import asyncio
 from enum import IntEnum
 
-from locktide.protocol.server_connection import SubmitRequest
+from locktide.protocol.messages import SubmitRequest
 from locktide.transport.client_connection import Response
 
 
--- a/locktide/dispatcher/requests.py
+++ b/locktide/dispatcher/requests.py
@@ -12,7 +12,7 @@
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.dispatcher.runtime import Runtime, ServingState
 from locktide.dispatcher.scheduler_bridge import SchedulerBridge
-from locktide.protocol.server_connection import SubmitRequest
+from locktide.protocol.messages import SubmitRequest
 from locktide.scheduler.commands import FailRequest, RejectRequest, ReportInternalError
 from locktide.scheduler.events import ClientDisconnected, RecoveredAttempt, RequestArrived, RequestRecovered
 from locktide.scheduler.types import AttemptOutcome
--- a/locktide/durable/acceptance.py
+++ b/locktide/durable/acceptance.py
@@ -15,7 +15,7 @@
 from locktide.durable.responses import denied_response, id_conflict_response, key_conflict_response
 from locktide.durable.waiters import JobWaiters
 from locktide.protocol import names
-from locktide.protocol.server_connection import SubmitRequest
+from locktide.protocol.messages import SubmitRequest
 from locktide.transport.client_connection import Response
 
 
@@ -31,7 +31,9 @@
     @classmethod
     def read(cls, request: SubmitRequest) -> JobRequest:
         """Reads the headers of a request."""
-        headers = {name.decode().lower(): value.decode("latin-1") for name, value in request.onward}
+        headers = {
+            name.decode().lower(): value.decode("latin-1") for name, value in request.forwarded_headers
+        }
         content = b"\0".join((request.method.encode(), request.target.encode(), request.body))
         return cls(
             request,
@@ -51,7 +53,9 @@
             service_class=request.service_class,
             method=request.method,
             target=request.target,
-            forwarded_headers=[(name, value) for name, value in request.onward if name.lower() != prefer],
+            forwarded_headers=[
+                (name, value) for name, value in request.forwarded_headers if name.lower() != prefer
+            ],
             body=request.body,
             recorded_at=now,
             deadline=now + timeout,
--- a/locktide/durable/job_dispatcher.py
+++ b/locktide/durable/job_dispatcher.py
@@ -8,7 +8,7 @@
 from locktide.durable.leases import Lease
 from locktide.durable.log.records import JobAccepted
 from locktide.durable.recovery import ResumeJob
-from locktide.protocol.server_connection import Callback, SubmitRequest
+from locktide.protocol.messages import Callback, SubmitRequest
 from locktide.scheduler.events import EndpointEntry
 from locktide.transport.client_connection import Response
 
--- a/locktide/durable/job_service.py
+++ b/locktide/durable/job_service.py
@@ -27,7 +27,7 @@
 from locktide.durable.recovery import ClockReading
 from locktide.durable.resumption import JobResumption
 from locktide.durable.waiters import JobWaiters
-from locktide.protocol.server_connection import Callback, JobQuery, SubmitRequest
+from locktide.protocol.messages import Callback, JobQuery, SubmitRequest
 from locktide.transport.client_connection import Response
 from locktide.transport.log import Log
 
--- a/locktide/durable/late_reports.py
+++ b/locktide/durable/late_reports.py
@@ -11,7 +11,7 @@
 from locktide.durable.log.records import LateReport
 from locktide.durable.log.stored_outcomes import encode_outcome
 from locktide.durable.log.write_ahead_log import wait_or_lose
-from locktide.protocol.server_connection import Callback
+from locktide.protocol.messages import Callback
 from locktide.scheduler.types import AttemptOutcome
 
 # Late reports recorded of one job: four attempts have a few each, and a bad peer could send for ever.
--- a/locktide/durable/lease_service.py
+++ b/locktide/durable/lease_service.py
@@ -17,7 +17,7 @@
 from locktide.durable.log.stored_outcomes import encode_outcome
 from locktide.durable.log.write_ahead_log import wait_or_lose
 from locktide.protocol import names
-from locktide.protocol.server_connection import Callback
+from locktide.protocol.messages import Callback
 from locktide.scheduler.types import AttemptOutcome
 from locktide.transport.client_connection import Response
 
--- a/locktide/durable/queries.py
+++ b/locktide/durable/queries.py
@@ -6,7 +6,7 @@
 
 from locktide.durable.durable_state import DurableState
 from locktide.durable.responses import final_response, pending_response, unknown_job_response
-from locktide.protocol.server_connection import JobQuery
+from locktide.protocol.messages import JobQuery
 from locktide.transport.client_connection import Response
 
 
--- a/locktide/durable/waiters.py
+++ b/locktide/durable/waiters.py
@@ -9,7 +9,7 @@
 from locktide.durable.durable_state import DurableState
 from locktide.durable.preference import Preference
 from locktide.durable.responses import final_response, pending_response, wait_timed_out_response
-from locktide.protocol.server_connection import SubmitRequest
+from locktide.protocol.messages import SubmitRequest
 from locktide.transport.client_connection import Response
 
 ResponseFuture = asyncio.Future[Response]
--- a/locktide/protocol/callbacks.py
+++ b/locktide/protocol/callbacks.py
@@ -3,36 +3,57 @@
 from __future__ import annotations
 
 import json
+from http import HTTPStatus
 from typing import Any
 
 from locktide.protocol import names
 from locktide.protocol.errors import RejectedMessageError
 from locktide.protocol.messages import Callback
+from locktide.protocol.names import CallbackKey
 
 # What reading JSON of any other shape than that of a callback may raise.
-MALFORMED = (ValueError, KeyError, TypeError, AttributeError, RecursionError, OverflowError)
+_MALFORMED = (ValueError, KeyError, TypeError, AttributeError, RecursionError, OverflowError)
 
 
 def parse_callback(body: bytes | bytearray) -> Callback:
-    """Reads the JSON body of a callback; raises RejectedMessageError where it is no callback."""
+    """Read the JSON body of a callback; raise RejectedMessageError where it is none."""
     try:
-        return read_callback(json.loads(body))
-    except MALFORMED:
-        raise RejectedMessageError(400, "expected a callback") from None
-
-
-def read_callback(document: Any) -> Callback:
-    """Reads a callback from decoded JSON; raises one of `MALFORMED` where it is none."""
-    request_id, worker, state = document["id"], document["from"], document["state"]
-    if not isinstance(request_id, str) or not isinstance(worker, str):
-        raise TypeError
-    fence = document.get("fence")
-    if not isinstance(fence, int):
-        fence = None
-    if state == names.RUNNING:
-        fraction_done = min(1.0, max(0.0, float(document["share"])))
-        return Callback(request_id, worker, state, fraction_done, None, b"", fence)
-    if state == names.STARTED:
-        return Callback(request_id, worker, state, 0.0, None, b"", fence)
-    result = document["result"].encode("utf-8", "surrogatepass") if state == names.DONE else b""
-    return Callback(request_id, worker, state, 0.0, names.CALLBACK_OUTCOMES[state], result, fence)
+        return _read_callback(json.loads(body))
+    except _MALFORMED as error:
+        raise RejectedMessageError(HTTPStatus.BAD_REQUEST, "expected a callback") from error
+
+
+def _read_callback(document: Any) -> Callback:
+    """Read a callback from decoded JSON; raise one of `_MALFORMED` where it is none."""
+    state = document[CallbackKey.STATE]
+    is_final = state not in (names.STARTED, names.RUNNING)
+    return Callback(
+        request_id=_text(document[CallbackKey.REQUEST_ID]),
+        worker=_text(document[CallbackKey.WORKER]),
+        state=state,
+        fraction_done=_fraction(document[CallbackKey.FRACTION_DONE]) if state == names.RUNNING else 0.0,
+        outcome=names.CALLBACK_OUTCOMES[state] if is_final else None,
+        result=_result(document[CallbackKey.RESULT]) if state == names.DONE else b"",
+        fence=_fence(document.get(CallbackKey.FENCE)),
+    )
+
+
+def _text(value: Any) -> str:
+    if not isinstance(value, str):
+        raise TypeError(f"expected a text, not {value!r:.40}")
+    return value
+
+
+def _fraction(value: Any) -> float:
+    """Return a number from 0.0 to 1.0; NaN is read as no progress."""
+    return min(1.0, max(0.0, float(value)))
+
+
+def _result(value: Any) -> bytes:
+    """Return the result in UTF-8; JSON may hold half of a surrogate pair, which is kept."""
+    return _text(value).encode("utf-8", "surrogatepass")
+
+
+def _fence(value: Any) -> int | None:
+    """Return a fencing number; a value that is none counts as not reported."""
+    return value if isinstance(value, int) else None
--- a/locktide/protocol/client_connection.py
+++ b/locktide/protocol/client_connection.py
@@ -1,4 +1,18 @@
-"""The client side of an HTTP connection: one request, its response, then the next request."""
+"""The client side of an HTTP connection: one request, its response, then the next request.
+
+One exchange follows another. h11 has a state for each side of the connection; what the pairs mean here:
+
+    our side   peer's side     meaning
+    IDLE       IDLE            no exchange: a request may be sent, unless bytes came without one
+    DONE       SEND_RESPONSE   a request is sent, its response is awaited
+    DONE       SEND_BODY       a response is coming in
+    DONE       DONE            both are complete: the next exchange begins
+    any        MUST_CLOSE      the response said "Connection: close": no request follows
+
+The odd corner is the end of the stream. Between exchanges it is the event `h11.ConnectionClosed`; while a
+response is awaited or comes in it is an `h11.RemoteProtocolError`, or the regular end of a body whose
+length was not stated.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +20,11 @@
 
 import h11
 
-from locktide.protocol import names
 from locktide.protocol.errors import ProtocolError
-
-__all__ = ["ClientHttpConnection", "Headers", "ProtocolError", "UpstreamRequest", "UpstreamResponse"]
-
-Headers = list[tuple[bytes, bytes]]
+from locktide.protocol.messages import MAX_BODY_SIZE, Headers
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class UpstreamRequest:
     """A request to a worker, to discovery or, from a simulated peer, to a dispatcher."""
 
@@ -24,7 +34,7 @@
     body: bytes = b""
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class UpstreamResponse:
     """A complete response; `headers` are by lower-case name."""
 
@@ -40,72 +50,80 @@
         has_received: Whether any byte has been read since the request.
     """
 
-    def __init__(self, host: str, max_body_size: int = names.MAX_BODY_SIZE) -> None:
-        """Begins a connection to `host`, whose response bodies hold at most so many bytes."""
-        self.machine = h11.Connection(h11.CLIENT)
-        self.host = host
-        self.max_body_size = max_body_size
-        self.response: UpstreamResponse | None = None
-        self.body = bytearray()
+    def __init__(self, host: str, max_body_size: int = MAX_BODY_SIZE) -> None:
+        """Begin a connection to `host`, whose response bodies hold at most so many bytes."""
         self.has_received = False
+        self._machine = h11.Connection(h11.CLIENT)
+        self._host = host
+        self._max_body_size = max_body_size
+        self._head: h11.Response | None = None
+        self._body = bytearray()
 
     def encode_request(self, request: UpstreamRequest) -> list[bytes]:
-        """Returns the request in pieces, and awaits its response from now on."""
-        self.response, self.body, self.has_received = None, bytearray(), False
-        headers = [(b"Host", self.host.encode()), *request.headers]
+        """Return the request in pieces, and await its response from now on."""
+        self.has_received = False
+        self._head = None
+        self._body = bytearray()
+        headers = [(b"Host", self._host.encode()), *request.headers]
         if request.body or request.method == "POST":
             headers.append((b"Content-Length", b"%d" % len(request.body)))
-        events: list[h11.Event] = [
-            h11.Request(method=request.method, target=request.target, headers=headers),
-            h11.EndOfMessage(),
-        ]
+        pieces = self._send(h11.Request(method=request.method, target=request.target, headers=headers))
         if request.body:
-            events.insert(1, h11.Data(data=request.body))
-        pieces: list[bytes] = []
-        for event in events:
-            pieces += self.machine.send_with_data_passthrough(event) or []
+            pieces += self._send(h11.Data(data=request.body))
+        pieces += self._send(h11.EndOfMessage())
         return pieces
 
     def feed(self, data: bytes) -> UpstreamResponse | None:
-        """Takes what was read, b"" at the end of the stream; returns the response once it is complete.
+        """Take what was read, b"" at the end of the stream; return the response once it is complete.
 
         Raises:
             ProtocolError: The stream ended before the response, or holds what is none.
         """
         self.has_received = self.has_received or bool(data)
         try:
-            self.machine.receive_data(data)
-            return self.read_response()
+            self._machine.receive_data(data)
+            return self._read_response()
         except h11.RemoteProtocolError as error:
-            raise ProtocolError(str(error)) from error
+            raise ProtocolError(str(error), peer=self._host) from error
 
-    def read_response(self) -> UpstreamResponse | None:
-        """Returns the response, None until more is fed; raises ProtocolError or h11.RemoteProtocolError."""
+    def _read_response(self) -> UpstreamResponse | None:
+        """Return the response, None until more is fed; raise ProtocolError or h11.RemoteProtocolError."""
         while True:
-            event = self.machine.next_event()
+            event = self._machine.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return None
             if isinstance(event, h11.Response):
-                headers = {name.decode(): value.decode("latin-1") for name, value in event.headers}
-                self.response = UpstreamResponse(event.status_code, headers, b"")
+                self._head = event
             elif isinstance(event, h11.Data):
-                self.body += event.data
-                if len(self.body) > self.max_body_size:
-                    raise ProtocolError("a reply over the limit")
-            elif isinstance(event, h11.EndOfMessage) and self.response is not None:
-                return self.complete_response(self.response)
+                self._body += event.data
+                self._check_body_size()
+            elif isinstance(event, h11.EndOfMessage) and self._head is not None:
+                return self._complete_response(self._head)
             elif isinstance(event, h11.ConnectionClosed):
-                raise ProtocolError("ended before the reply")
-
-    def complete_response(self, response: UpstreamResponse) -> UpstreamResponse:
-        """Adds the body to a response that has ended, and makes way for the next request."""
-        response.body = bytes(self.body)
-        if self.machine.our_state is self.machine.their_state is h11.DONE:
-            self.machine.start_next_cycle()
+                raise ProtocolError("closed the connection before its response", peer=self._host)
+
+    def _check_body_size(self) -> None:
+        if len(self._body) > self._max_body_size:
+            raise ProtocolError(f"its response holds over {self._max_body_size} bytes", peer=self._host)
+
+    def _complete_response(self, head: h11.Response) -> UpstreamResponse:
+        """Return the response that has ended, and begin the next exchange, if one can follow."""
+        headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
+        response = UpstreamResponse(head.status_code, headers, bytes(self._body))
+        if self._machine.our_state is self._machine.their_state is h11.DONE:
+            self._machine.start_next_cycle()
         return response
 
+    @property
+    def has_unparsed_bytes(self) -> bool:
+        """Whether bytes were fed that belong to no response."""
+        return bool(self._machine.trailing_data[0])
+
     @property
     def is_idle(self) -> bool:
         """Whether no response is awaited and the next request may follow."""
-        idle = self.machine.our_state is self.machine.their_state is h11.IDLE
-        return idle and not self.machine.trailing_data[0]
+        is_between_exchanges = self._machine.our_state is self._machine.their_state is h11.IDLE
+        return is_between_exchanges and not self.has_unparsed_bytes
+
+    def _send(self, event: h11.Event) -> list[bytes]:
+        return self._machine.send_with_data_passthrough(event) or []
--- a/locktide/protocol/discovery.py
+++ b/locktide/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list, as discovery sends it and as it is remembered in the platform's start file."""
+"""The endpoint list, as discovery sends it and as it is cached in the platform's start file."""
 
 from __future__ import annotations
 
@@ -11,12 +11,21 @@
 from locktide.config.json_reader import JsonObject
 from locktide.protocol import names
 from locktide.protocol.client_connection import UpstreamRequest
+from locktide.protocol.names import EndpointKey, EndpointListKey
 from locktide.scheduler.events import EndpointEntry
 
-MAX_LIST_SIZE = 8 * 1024 * 1024  # bytes; some tens of thousands of workers
+#: Bytes of the body of a list; enough for some tens of thousands of workers.
+MAX_LIST_SIZE = 8 * 1024 * 1024
 
+#: Largest part of a list's entries that may be malformed. Above it the list itself is taken to be at fault,
+#: and the one in use stays, as dropping most workers would stop the traffic.
+MAX_MALFORMED_FRACTION = 0.5
 
-@dataclass(slots=True)
+#: Path of a list that discovery has sent, in the texts of errors.
+RESPONSE_PATH = "list"
+
+
+@dataclass(frozen=True, slots=True)
 class DiscoveryUpdate:
     """A whole endpoint list, or the entries that changed.
 
@@ -38,81 +47,115 @@
 
 
 def list_request(after: int | None, wait_ms: int) -> UpstreamRequest:
-    """Returns the request for changes after a version, which waits for one; without a version, for all."""
-    query = "" if after is None else f"?after={after}&wait_ms={wait_ms}"
-    return UpstreamRequest("GET", names.INSTANCES + query, [])
-
-
-def read_entry(table: JsonObject) -> tuple[EndpointEntry, Address]:
-    """Reads one entry; raises ConfigError with the name of the key that is missing or malformed."""
-    entry = EndpointEntry(
-        table.text("uid"),
-        table.text("az", ""),
-        table.text("model", ""),
-        table.integer("pod_group", 0),
-        table.choice(names.ENDPOINT_STATES, "state"),
-        table.number("capacity_hint", 1.0),
-        table.microseconds("boot_ms", 0),
-    )
-    return entry, parse_address(table.key("endpoint"), table.text("endpoint"))
+    """Return the request for the changes after a version, or for the whole list.
+
+    Args:
+        after: The version that is known; None for the whole list.
+        wait_ms: How long discovery may wait for a change, in milliseconds.
+    """
+    query = ""
+    if after is not None:
+        query = f"?{names.AFTER_VERSION}={after}&{names.WAIT_MILLISECONDS}={wait_ms}"
+    return UpstreamRequest("GET", names.INSTANCES + query, headers=[])
 
 
-def read(document: Any, path: str, strict: bool = True) -> DiscoveryUpdate:
-    """Reads an endpoint list from decoded JSON.
+def read(document: Any, path: str) -> DiscoveryUpdate:
+    """Read an endpoint list from decoded JSON, of which each entry must be well-formed.
 
     Args:
         document: The decoded JSON.
-        path: Where it stands, for the texts of errors.
-        strict: Whether an entry that is malformed, or names a worker twice, makes the whole list invalid.
-            Else it is left out and its worker noted as unreadable; a list of which more than half is like
-            that is refused as a whole.
+        path: Where it is in its file, for the texts of errors.
 
     Raises:
         ConfigError: It is no endpoint list; the text begins with the key at fault.
     """
-    table = JsonObject(document, path)
-    update = DiscoveryUpdate(table.integer("rev"), table.flag("all"), [], {})
-    rows = table.items("targets")
-    unreadable: dict[str, None] = {}  # in order, each once
-    for index, row in enumerate(rows):
-        try:
-            add_entry(update, JsonObject(row, f"{path}.targets[{index}]"), unreadable)
-        except ConfigError as error:
-            if strict:
-                raise
-            update.faults.append(str(error))
-            worker = row.get("uid") if isinstance(row, dict) else None
-            if isinstance(worker, str):
-                unreadable[worker] = None
-            if 2 * len(update.faults) > len(rows):
-                raise
-    if unreadable:  # once, at the end: a list of many thousands must not hold up the loop
-        remove_workers(update, unreadable)
-    return update
-
-
-def add_entry(update: DiscoveryUpdate, table: JsonObject, unreadable: dict[str, None]) -> None:
-    """Adds an entry to the update; raises ConfigError where it is malformed or its worker is in already."""
-    entry, entry_address = read_entry(table)
-    if entry.worker in update.addresses or entry.worker in unreadable:
-        raise ConfigError(table.key("uid"), f"{entry.worker!r:.40} is told twice")
-    update.entries.append(entry)
-    update.addresses[entry.worker] = entry_address
-
-
-def remove_workers(update: DiscoveryUpdate, unreadable: dict[str, None]) -> None:
-    """Takes workers out of the update and notes them as unreadable."""
-    update.unreadable = list(unreadable)
-    update.entries = [entry for entry in update.entries if entry.worker not in unreadable]
-    for worker in unreadable:
-        update.addresses.pop(worker, None)
+    return _read_list(JsonObject(document, path), skips_malformed=False)
 
 
 def parse(body: bytes) -> DiscoveryUpdate:
-    """Reads the body of discovery's response, leaving out entries that are malformed.
+    """Read the body of discovery's response.
+
+    A malformed entry, or one of a worker that is listed twice, is left out, and its worker noted as
+    unreadable. A single entry with, say, a state of a later version would otherwise keep out every later
+    change of the list, drains among them. Held by `test_unreadable_entry_costs_its_worker_alone`.
 
     Raises:
         ValueError: It is not JSON.
-        ConfigError: It is no endpoint list, or most of its entries are malformed.
+        ConfigError: It is no endpoint list, or more than `MAX_MALFORMED_FRACTION` of its entries are
+            malformed.
     """
-    return read(json.loads(body), "list", strict=False)
+    return _read_list(JsonObject(json.loads(body), RESPONSE_PATH), skips_malformed=True)
+
+
+def _read_list(document: JsonObject, skips_malformed: bool) -> DiscoveryUpdate:
+    version = document.integer(EndpointListKey.VERSION)
+    is_snapshot = document.flag(EndpointListKey.IS_SNAPSHOT)
+    rows = document.items(EndpointListKey.ENTRIES)
+    reader = _EntryReader()
+    for index, row in enumerate(rows):
+        try:
+            reader.add(JsonObject(row, f"{document.key(EndpointListKey.ENTRIES)}[{index}]"))
+        except ConfigError as error:
+            if not skips_malformed:
+                raise
+            reader.skip(row, error)
+            if len(reader.faults) > MAX_MALFORMED_FRACTION * len(rows):
+                raise
+    reader.remove_unreadable()
+    return DiscoveryUpdate(
+        version=version,
+        is_snapshot=is_snapshot,
+        entries=reader.entries,
+        addresses=reader.addresses,
+        unreadable=list(reader.unreadable),
+        faults=reader.faults,
+    )
+
+
+class _EntryReader:
+    """Reads the entries of one list, and notes those that cannot be read."""
+
+    def __init__(self) -> None:
+        self.entries: list[EndpointEntry] = []
+        self.addresses: dict[str, Address] = {}
+        self.unreadable: dict[str, None] = {}  # workers, in order, each once
+        self.faults: list[str] = []
+
+    def add(self, json_entry: JsonObject) -> None:
+        """Add an entry; raise ConfigError where it is malformed or its worker is listed already."""
+        entry = _read_entry(json_entry)
+        entry_address = parse_address(
+            json_entry.key(EndpointKey.ADDRESS), json_entry.text(EndpointKey.ADDRESS)
+        )
+        if entry.worker in self.addresses or entry.worker in self.unreadable:
+            raise ConfigError(json_entry.key(EndpointKey.WORKER), f"{entry.worker!r:.40} is listed twice")
+        self.entries.append(entry)
+        self.addresses[entry.worker] = entry_address
+
+    def skip(self, row: Any, error: ConfigError) -> None:
+        """Note that an entry could not be read."""
+        self.faults.append(str(error))
+        worker = row.get(EndpointKey.WORKER) if isinstance(row, dict) else None
+        if isinstance(worker, str):
+            self.unreadable[worker] = None
+
+    def remove_unreadable(self) -> None:
+        """Remove the unreadable workers in one pass, as a list of many thousands must not block the loop."""
+        if not self.unreadable:
+            return
+        self.entries = [entry for entry in self.entries if entry.worker not in self.unreadable]
+        for worker in self.unreadable:
+            self.addresses.pop(worker, None)
+
+
+def _read_entry(json_entry: JsonObject) -> EndpointEntry:
+    """Read one entry; raise ConfigError with the name of the key that is missing or malformed."""
+    return EndpointEntry(
+        worker=json_entry.text(EndpointKey.WORKER),
+        zone=json_entry.text(EndpointKey.ZONE, ""),
+        worker_type=json_entry.text(EndpointKey.WORKER_TYPE, ""),
+        cell=json_entry.integer(EndpointKey.CELL, 0),
+        state=json_entry.choice(names.ENDPOINT_STATES, EndpointKey.STATE),
+        rating=json_entry.number(EndpointKey.CAPACITY, 1.0),
+        started_at=json_entry.microseconds(EndpointKey.STARTED_AT, 0),
+    )
--- a/locktide/protocol/errors.py
+++ b/locktide/protocol/errors.py
@@ -1,4 +1,8 @@
-"""Errors of reading and writing messages."""
+"""Errors of reading messages; each says whose fault it is.
+
+Both are faults of the peer: what it sent, or that it stopped sending. Calling a connection out of turn is a
+fault of this program, and raises `h11.LocalProtocolError`, which nothing catches.
+"""
 
 from __future__ import annotations
 
@@ -6,18 +10,33 @@
 
 
 class ProtocolError(LocktideError):
-    """A connection ended, or its peer sent what HTTP does not allow, before the message was complete."""
+    """The peer sent what HTTP does not allow, or ended the connection before its message was complete.
+
+    Attributes:
+        peer: The peer at fault, as HOST:PORT; empty where the message does not depend on it.
+        reason: What it did.
+    """
+
+    def __init__(self, reason: str, peer: str = "") -> None:
+        super().__init__(f"{peer}: {reason}" if peer else reason)
+        self.peer = peer
+        self.reason = reason
 
 
 class RejectedMessageError(ProtocolError):
-    """A complete message that is not accepted.
+    """The peer sent a message of HTTP that is not accepted here.
 
     Attributes:
-        status: The HTTP status to answer with, a 4xx.
+        status: The HTTP status to respond with, a 4xx.
         reason: The text of the response, for whoever sent the message.
+        is_final: Whether nothing can follow on the connection, because it is not clear where the message
+            ends.
     """
 
-    def __init__(self, status: int, reason: str) -> None:
-        super().__init__(f"{status}: {reason}")
+    def __init__(self, status: int, reason: str, is_final: bool = False) -> None:
+        super().__init__(reason)
         self.status = status
-        self.reason = reason
+        self.is_final = is_final
+
+    def __str__(self) -> str:
+        return f"{self.status}: {self.reason}"
--- a/locktide/protocol/messages.py
+++ b/locktide/protocol/messages.py
@@ -6,10 +6,17 @@
 
 from locktide.scheduler.types import AttemptOutcome
 
+#: Header fields of a message, in order, spelled as they are on the wire.
+Headers = list[tuple[bytes, bytes]]
 
-@dataclass(slots=True)
+#: Bytes of the body of a request or of a response. Larger ones are rejected, so that a peer cannot fill the
+#: memory with one message.
+MAX_BODY_SIZE = 64 * 1024
+
+
+@dataclass(frozen=True, slots=True)
 class SubmitRequest:
-    """A job that a client hands in.
+    """A request that a client submits.
 
     Attributes:
         id: Identifies the request; unique among those that are open.
@@ -17,10 +24,10 @@
         timeout: How long the client waits for the response, in microseconds.
         width: How many slots of a worker the job takes.
         is_retry: Whether the client says that it has sent this request before.
-        method: HTTP method, passed on to the worker.
-        target: HTTP request target, passed on to the worker.
-        onward: Header fields that are passed on to the worker unchanged.
-        body: Payload, at most `names.MAX_BODY_SIZE` bytes.
+        method: HTTP method, forwarded to the worker.
+        target: HTTP request target, forwarded to the worker.
+        forwarded_headers: Header fields that are forwarded to the worker unchanged.
+        body: Payload, at most `MAX_BODY_SIZE` bytes.
         background: Whether no client waits for the response on a connection.
         work_hint: The expected run time in microseconds; 0 where the client gives none.
         tenant: Who is charged for the job, where the client says so.
@@ -34,7 +41,7 @@
     is_retry: bool
     method: str
     target: str
-    onward: list[tuple[bytes, bytes]]
+    forwarded_headers: Headers
     body: bytes
     background: bool = False
     work_hint: int = 0
@@ -42,19 +49,19 @@
     affinity_key: int | None = None
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class Callback:
     """What a worker reports of a job.
 
     Attributes:
         request_id: The request that the job belongs to.
         worker: Name of the worker that reports.
-        state: The state as it stands in the message: `names.STARTED`, `names.RUNNING`, or a key of
+        state: The state as it is spelled in the message: `names.STARTED`, `names.RUNNING`, or a key of
             `names.CALLBACK_OUTCOMES`.
         fraction_done: Progress from 0.0 to 1.0.
         outcome: How the attempt ended; None where it goes on.
         result: Body of the response to the client, of a job that is done.
-        fence: Fencing token of the attempt's lease, from workers that report it.
+        fence: Fencing number of the attempt's lease, from workers that report it.
     """
 
     request_id: str
@@ -66,23 +73,28 @@
     fence: int | None = None
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class JobQuery:
     """Asks for the state of a durable job."""
 
     id: str
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class HealthQuery:
     """Asks whether the dispatcher is ready, or only whether its process lives."""
 
     ready: bool
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class BadRequest:
-    """A message that is not accepted; `status` is the HTTP status to answer with."""
+    """A message that is not accepted.
+
+    Attributes:
+        status: The HTTP status to respond with.
+        reason: The text of the response.
+    """
 
     status: int
     reason: str
--- a/locktide/protocol/names.py
+++ b/locktide/protocol/names.py
@@ -1,24 +1,37 @@
-"""The names of header fields, paths and states on the wire; they stand nowhere else."""
+"""The names of header fields, paths, JSON keys and states on the wire; each is written here and nowhere else.
+
+The constants have our names, their values are the platform's. Where the platform has a word for one of our
+enums, a table maps each word to the member.
+"""
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 from locktide.scheduler.types import AttemptOutcome, EndpointState
 
-# Header fields, as they go out; they are compared in lower case.
+# Header fields, as they are sent; received ones are compared in lower case.
 REQUEST_ID = "Req-Id"
 SERVICE_CLASS = "Req-Kind"
 IDEMPOTENCY_KEY = "Idempotency-Key"
 TIMEOUT = "Req-Deadline"
 RETRY = "Req-Retry"
 EXTRAS = "Req-Extra"
-DECLINED = "Srv-Declined"
+DECLINED = "Srv-Declined"  # "1" where a worker has no free slot
 PREFER = "Prefer"  # RFC 7240
-FENCE = "Lease-Fence"  # of a durable job's lease; a worker may report it back as `fence`
+FENCE = "Lease-Fence"  # fencing number of a durable job's lease; a worker may report it back in its callbacks
 JOB_STATE = "Job-State"
-WIDTH = "slots"  # among the extras
-WORK_HINT = "hint"  # among the extras: the work expected, in milliseconds
-TENANT = "tenant"  # among the extras
-OBJECT = "obj"  # in the query: what a job is about
+
+#: Value of `RETRY` and of `DECLINED` that means yes.
+FLAG_SET = "1"
+
+# Names of the pairs in `EXTRAS`.
+WIDTH = "slots"
+WORK_HINT = "hint"  # the expected work, in milliseconds
+TENANT = "tenant"
+
+# In the query of a request's target.
+OBJECT = "obj"  # the object that the request is about
 
 READY = "/health/ready"
 LIVE = "/health/live"
@@ -26,7 +39,19 @@
 JOBS = "/jobs/"
 INSTANCES = "/registry/instances"
 
-# What a worker reports by callback. Those of `CALLBACK_OUTCOMES` end an attempt.
+
+class CallbackKey(StrEnum):
+    """Keys of the JSON object with which a worker reports on a job."""
+
+    REQUEST_ID = "id"
+    WORKER = "from"
+    STATE = "state"
+    FRACTION_DONE = "share"
+    RESULT = "result"
+    FENCE = "fence"
+
+
+# States that a worker reports by callback; those of `CALLBACK_OUTCOMES` end an attempt.
 STARTED = "started"
 RUNNING = "running"
 DONE = "done"
@@ -37,10 +62,34 @@
     "lost": AttemptOutcome.RESET,
 }
 
+
+class EndpointListKey(StrEnum):
+    """Keys of discovery's endpoint list."""
+
+    VERSION = "rev"
+    IS_SNAPSHOT = "all"
+    ENTRIES = "targets"
+
+
+class EndpointKey(StrEnum):
+    """Keys of one entry of the endpoint list."""
+
+    WORKER = "uid"
+    ADDRESS = "endpoint"
+    ZONE = "az"
+    WORKER_TYPE = "model"
+    CELL = "pod_group"
+    STATE = "state"
+    CAPACITY = "capacity_hint"
+    STARTED_AT = "boot_ms"  # milliseconds of Unix time
+
+
 ENDPOINT_STATES = {
     "active": EndpointState.READY,
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
 
-MAX_BODY_SIZE = 64 * 1024  # bytes, of a request or a response
+# In the query of a request for the endpoint list.
+AFTER_VERSION = "after"
+WAIT_MILLISECONDS = "wait_ms"
--- a/locktide/protocol/worker_messages.py
+++ b/locktide/protocol/worker_messages.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from urllib.parse import quote
 
 from locktide.protocol import names
@@ -9,32 +10,36 @@
 from locktide.protocol.messages import SubmitRequest
 from locktide.scheduler.types import AttemptOutcome
 
+#: Statuses with which a worker may decline a job for want of a free slot.
+DECLINING_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
-def job(submission: SubmitRequest, time_left: int, fence: int = 0) -> UpstreamRequest:
-    """Returns the request that hands a job to a worker.
+
+def job_request(request: SubmitRequest, time_left: int, fence: int = 0) -> UpstreamRequest:
+    """Return the request that hands a job to a worker.
 
     Args:
-        submission: The client's request, which is passed on.
-        time_left: How long we will wait for the job, in microseconds.
-        fence: Fencing token of the attempt's lease; 0 where it has none.
+        request: The client's request, which is forwarded.
+        time_left: How long the dispatcher will wait for the job, in microseconds.
+        fence: Fencing number of the attempt's lease; 0 where it has none.
     """
-    headers = [*submission.onward, (names.TIMEOUT.encode(), b"%du" % time_left)]
+    headers = [*request.forwarded_headers, (names.TIMEOUT.encode(), b"%du" % time_left)]
     if fence:
         headers.append((names.FENCE.encode(), b"%d" % fence))
-    return UpstreamRequest(submission.method, submission.target, headers, submission.body)
+    return UpstreamRequest(request.method, request.target, headers, request.body)
 
 
-def withdrawal(request_id: str) -> UpstreamRequest:
-    """Returns the request that cancels a job at a worker."""
-    return UpstreamRequest("DELETE", names.JOBS + quote(request_id, safe=""), [])
+def cancel_request(request_id: str) -> UpstreamRequest:
+    """Return the request that cancels a job at a worker."""
+    return UpstreamRequest("DELETE", names.JOBS + quote(request_id, safe=""), headers=[])
 
 
-def outcome(response: UpstreamResponse) -> AttemptOutcome | None:
-    """Returns how the response ends the attempt; None where the worker has accepted the job."""
-    if response.status == 202:
+def response_outcome(response: UpstreamResponse) -> AttemptOutcome | None:
+    """Return how the response ends the attempt; None where the worker has accepted the job."""
+    if response.status == HTTPStatus.ACCEPTED:
         return None
-    if 400 <= response.status < 500:
+    if HTTPStatus.BAD_REQUEST <= response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return AttemptOutcome.UNPROCESSABLE
-    if response.status in (503, 504) and response.headers.get(names.DECLINED.lower()) == "1":
+    is_declined = response.headers.get(names.DECLINED.lower()) == names.FLAG_SET
+    if is_declined and response.status in DECLINING_STATUSES:
         return AttemptOutcome.FULL
     return AttemptOutcome.ERROR
--- a/locktide/simulation/client_site.py
+++ b/locktide/simulation/client_site.py
@@ -5,7 +5,8 @@
 import asyncio
 
 from locktide.protocol import names
-from locktide.protocol.client_connection import ProtocolError, UpstreamRequest, UpstreamResponse
+from locktide.protocol.client_connection import UpstreamRequest, UpstreamResponse
+from locktide.protocol.errors import ProtocolError
 from locktide.simulation.connection_pool import ClientConnectionPool, IdleConnection
 from locktide.simulation.interfaces import ClientContext
 from locktide.simulation.model import traffic
@@ -254,7 +255,7 @@
 
     def more(self, tried: RequestTry, line: IdleConnection) -> None:
         """What follows an answer unasked is a second one."""
-        if line.exchange.machine.trailing_data[0]:
+        if line.exchange.has_unparsed_bytes:
             self.stage.checker.answered(tried, self.stage.host.now(), 0, b"")
 
     def answered(self, tried: RequestTry, reply: UpstreamResponse) -> None:
--- a/locktide/simulation/connection_pool.py
+++ b/locktide/simulation/connection_pool.py
@@ -4,12 +4,8 @@
 
 import asyncio
 
-from locktide.protocol.client_connection import (
-    ClientHttpConnection,
-    ProtocolError,
-    UpstreamRequest,
-    UpstreamResponse,
-)
+from locktide.protocol.client_connection import ClientHttpConnection, UpstreamRequest, UpstreamResponse
+from locktide.protocol.errors import ProtocolError
 from locktide.simulation.backend import Address, Backend
 from locktide.simulation.model.network import Machine
 
--- a/locktide/simulation/worker_site.py
+++ b/locktide/simulation/worker_site.py
@@ -9,7 +9,8 @@
 import h11
 
 from locktide.protocol import names
-from locktide.protocol.client_connection import ProtocolError, UpstreamRequest
+from locktide.protocol.client_connection import UpstreamRequest
+from locktide.protocol.errors import ProtocolError
 from locktide.simulation.backend import WORKER_PORT, Closable
 from locktide.simulation.connection_pool import ClientConnectionPool
 from locktide.simulation.http import Message, ServerMessages, as_json
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -9,6 +9,7 @@
 import subprocess
 import sys
 import time
+from dataclasses import replace
 from pathlib import Path
 
 import pytest
@@ -248,8 +249,7 @@
         quotas = [QuotaSpec("dairy", 5.0, 25.0)]
         config = ClusterConfig(("d0", 1), address, {"d0": address}, [], quotas, 0.2, 2)
         transport = await open_udp_transport(config, play.node.log, play.node, address)
-        request = submission("a")
-        request.tenant = "dairy"
+        request = replace(submission("a"), tenant="dairy")
         play.node.submit(request)
         assert transport.member.local_quota.demand == {"dairy": 1}
         await play.settle()
--- a/tests/dispatcher/test_requests.py
+++ b/tests/dispatcher/test_requests.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from dataclasses import replace
 
 import pytest
 from helpers import HandPlayed, run_story, submission
@@ -63,8 +64,7 @@
 def test_during_shutdown_background_jobs_keep_their_deadline() -> None:
     async def story(play: HandPlayed) -> None:
         play.node.lifecycle.limit_new_requests(play.node.loop.time() + 0.5)
-        kept = submission("kept")
-        kept.background = True
+        kept = replace(submission("kept"), background=True)
         play.node.submit(kept)
         play.node.submit(submission("plain"))
         left = {name: held.deadline - play.node.clock.now() for name, held in play.node.open_requests.items()}
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,8 +16,8 @@
 from locktide.config import start
 from locktide.dispatcher.dispatcher import Dispatcher
 from locktide.protocol import discovery
+from locktide.protocol import messages as clients
 from locktide.protocol import names as wire_names
-from locktide.protocol import server_connection as clients
 from locktide.protocol.client_connection import UpstreamRequest, UpstreamResponse
 from locktide.scheduler.commands import CancelAttempt, FailRequest, RejectRequest, SetTimer, StartAttempt
 from locktide.scheduler.config import (
--- a/tests/protocol/test_client_connection.py
+++ b/tests/protocol/test_client_connection.py
@@ -28,14 +28,25 @@
 
 @pytest.mark.parametrize("data", [b"", b"nonsense\r\n\r\n", TAKEN % 9 + b"half"])
 def test_response_that_breaks_off_is_a_protocol_error(data: bytes) -> None:
+    """A worker dies while it responds, or something that is no HTTP server listens on its port.
+
+    The dispatcher has a part of a response, or bytes that are none. It must not take them for a response: the
+    error says that the peer is at fault, and names it.
+    """
     http = ClientHttpConnection("w:1")
     http.encode_request(UpstreamRequest("GET", "/", []))
-    with pytest.raises(ProtocolError):
+    with pytest.raises(ProtocolError, match="^w:1: ") as caught:
         http.feed(data)
         http.feed(b"")
+    assert caught.value.peer == "w:1"
 
 
 def test_connection_that_the_worker_closes_is_not_idle() -> None:
+    """A worker responds and says that it will close the connection.
+
+    A request that is sent on it all the same meets a closed socket, and whether it ran is not known. The
+    connection must not be offered for another request.
+    """
     http = ClientHttpConnection("w:1")
     http.encode_request(UpstreamRequest("GET", "/", []))
     response = http.feed(b"HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -40,13 +40,18 @@
         ([list_entry("w0", state="warming")], "list.targets[0].state: expected one of"),
         ([list_entry("w0", endpoint="nowhere")], "list.targets[0].endpoint: expected HOST:PORT"),
         ([list_entry("w0", boot_ms=10**400)], "list.targets[0].boot_ms: expected a number"),
-        ([list_entry("w0"), list_entry("w0", state="leaving")], "list.targets[1].uid: 'w0' is told twice"),
-        ([list_entry("w0"), list_entry("w0"), list_entry("w0")], "list.targets[1].uid: 'w0' is told twice"),
+        ([list_entry("w0"), list_entry("w0", state="leaving")], "list.targets[1].uid: 'w0' is listed twice"),
+        ([list_entry("w0"), list_entry("w0"), list_entry("w0")], "list.targets[1].uid: 'w0' is listed twice"),
         (["w0", list_entry("w0", state="leaving")], "list.targets[0]: expected an object"),
     ],
 )
 def test_unreadable_entry_costs_its_worker_alone(faulty: list[Any], message: str) -> None:
-    """One entry with a new name for a state would have kept out all drains that were announced after it."""
+    """A later version of discovery lists one worker with a state that this dispatcher does not know.
+
+    Were the whole list rejected for it, the dispatcher would go on with its old list and send jobs to
+    workers that are draining, until somebody noticed. All other entries must count; the worker with the
+    unreadable entry gets no jobs until it is listed properly.
+    """
 
     async def run() -> None:
         play = HandPlayed()
@@ -63,11 +68,20 @@
 
 
 def test_strict_list_with_a_malformed_entry_is_refused_with_the_key_named() -> None:
+    """An operator's start file has a cached endpoint list with a typing error in one entry.
+
+    At the start somebody is there to mend it: the file must be rejected, and the error must name the key.
+    """
     with pytest.raises(ConfigError, match=r"known\.targets\[0\]\.state: expected one of"):
         discovery.read({"rev": 1, "all": True, "targets": [{**ENTRY, "state": "odd"}]}, "known")
 
 
 def test_mostly_unreadable_list_is_refused_and_an_unknown_worker_is_not_added() -> None:
+    """Discovery sends a list of which most entries cannot be read, because the format has changed.
+
+    Leaving out most workers would stop the traffic, so such a list is rejected as a whole and the one in use
+    stays. Where few entries are unreadable, one of a worker that was never listed must not make it known.
+    """
     with pytest.raises(ConfigError, match="expected one of"):
         discovery.parse(
             list_body(list_entry("w0", state="odd"), list_entry("w1", state="odd"), list_entry("w2"))
--- a/tests/protocol/test_server_connection.py
+++ b/tests/protocol/test_server_connection.py
@@ -75,7 +75,7 @@
             True,
             480_000,
         )
-        upstream_request = worker_messages.job(submission, 1234)
+        upstream_request = worker_messages.job_request(submission, 1234)
         onward = dict(upstream_request.headers)
         assert onward[b"Idempotency-Key"] == b"k%d" % number and onward[b"X-Note"] == b"caf\xe9"
         assert onward[b"Req-Deadline"] == b"1234u" and b"Host" not in onward
@@ -90,6 +90,11 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_noise_is_rejected_with_a_4xx(seed: int) -> None:
+    """Bytes of a request are changed at random, as by a port scanner or a broken proxy.
+
+    Whatever comes, the connection must neither raise nor respond with a 5xx: the fault is the sender's. 429
+    is kept for overload, and must not come up either.
+    """
     generator = random.Random(seed)
     whole = bytearray(submit(body=b"x" * 30) + call(id="a", **{"from": "w"}, state="done", result="r"))
     for _ in range(generator.randint(1, 12)):
@@ -152,6 +157,11 @@
     ],
 )
 def test_bad_request_is_rejected_with_its_4xx(data: bytes, status: int) -> None:
+    """A client sends a request with a fault, or one whose end two readers would see at different places.
+
+    Of the second sort a request could be hidden in the body of another, and run without the checks of the
+    first. Each must be rejected with the 4xx that names its fault, and nothing of it may become a request.
+    """
     found, written = exchange_messages(data)
     assert isinstance(found[0], BadRequest) and found[0].status == status
     assert written.startswith(b"HTTP/1.1 %d " % status)
@@ -178,6 +188,11 @@
 
 @pytest.mark.parametrize("share", ["NaN", "-3", "1e999", "1" + 400 * "0", '"half"', "null", "{}"])
 def test_progress_out_of_range_is_clamped_or_rejected(share: str) -> None:
+    """A worker computes its progress wrongly and reports NaN, a negative number or one beyond any range.
+
+    Such a number would go into the estimates of run times and spoil each later decision. It must be clamped
+    to a fraction, or the callback rejected.
+    """
     http = ServerHttpConnection({"view": 3_000_000}, [])
     callback = f'{{"id": "a", "from": "w0", "state": "running", "share": {share}}}'
     http.feed(post("/callback", callback.encode()))
--- a/tests/protocol/test_worker_messages.py
+++ b/tests/protocol/test_worker_messages.py
@@ -27,4 +27,4 @@
 def test_response_of_a_worker_ends_the_attempt_with_its_outcome(
     status: int, headers: dict[str, str], outcome: str | None
 ) -> None:
-    assert worker_messages.outcome(UpstreamResponse(status, headers, b"")) == outcome
+    assert worker_messages.response_outcome(UpstreamResponse(status, headers, b"")) == outcome
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -18,7 +18,7 @@
 from locktide.config.json_reader import JsonObject
 from locktide.dispatcher.dispatcher import Dispatcher
 from locktide.protocol import discovery
-from locktide.protocol import server_connection as clients
+from locktide.protocol import messages as clients
 from locktide.scheduler.commands import CloseIdleConnections
 from locktide.scheduler.config import SchedulerConfig
 from locktide.scheduler.events import ConfigReloaded
--- a/tests/scheduler/test_ratings_and_reload.py
+++ b/tests/scheduler/test_ratings_and_reload.py
@@ -16,7 +16,8 @@
 from helpers import COLD, GRADES, STEP, Checked, begin, call, listed, submit, terms
 
 from locktide.dispatcher.requests import arrival_event
-from locktide.protocol import server_connection as clients
+from locktide.protocol.messages import SubmitRequest
+from locktide.protocol.server_connection import ServerHttpConnection
 from locktide.scheduler.commands import CancelAttempt, FailRequest, RejectRequest, WatchEndpoints, WriteLog
 from locktide.scheduler.config import CostConfig, ServiceClass
 from locktide.scheduler.events import ConfigReloaded, EndpointEntry
@@ -279,10 +280,10 @@
 def test_what_a_submission_tells_beside_its_grade_reaches_the_decisions(
     extras: str, target: str, told: tuple[Any, ...]
 ) -> None:
-    conversation = clients.ServerHttpConnection({"view": 3_000_000}, ())
+    conversation = ServerHttpConnection({"view": 3_000_000}, ())
     conversation.feed(submit(target, Req_Extra=extras, Req_Kind="view"))
     message = conversation.next_message()
-    assert isinstance(message, clients.SubmitRequest)
+    assert isinstance(message, SubmitRequest)
     news = arrival_event(message, 9_000_000)
     assert (news.width, news.work_hint, news.tenant, news.affinity_key) == told
     assert (news.request_id, news.service_class, news.deadline) == ("a1", "view", 9_000_000)
