--- a/locktide/cluster/fairness/usage.py
+++ b/locktide/cluster/fairness/usage.py
@@ -65,7 +65,8 @@
     # --- requests
 
     def _on_arrival(self, event: RequestArrived) -> None:
-        tenant_index, needs = self.tenant_indices.get(event.tenant), self.needs.get(event.service_class)
+        tenant_index = None if event.tenant is None else self.tenant_indices.get(event.tenant)
+        needs = self.needs.get(event.service_class)
         if tenant_index is None or needs is None or event.request_id in self.open_requests:
             return
         usage = OpenUsage(tenant_index, [round(amount * event.width) for amount in needs])
--- a/locktide/dispatcher/attempts.py
+++ b/locktide/dispatcher/attempts.py
@@ -127,7 +127,7 @@
         else:
             if outcome == AttemptOutcome.UNPROCESSABLE:
                 self._respond_unprocessable(request, attempt)
-            self.completion.finish(request, attempt, outcome)
+            self.completion.finish(request, attempt, AttemptOutcome(outcome))
 
     def _respond_unprocessable(self, request: OpenRequest, attempt: OpenAttempt) -> None:
         request_id = request.message.id
--- a/locktide/dispatcher/cancellation.py
+++ b/locktide/dispatcher/cancellation.py
@@ -147,14 +147,14 @@
                 attempt.lease_expired = True
                 self.cancel_attempt(CancelAttempt(request_id, attempt.number))
 
-    def cancel_and_finish(self, request: OpenRequest, attempt: OpenAttempt, outcome: str) -> None:
+    def cancel_and_finish(self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
         """End a possibly running attempt with that outcome, once its worker has been told to cancel it."""
         if attempt.possibly_running and not attempt.is_cancelling:
             attempt.is_cancelling = True
             self.start_cancelling(request, attempt, outcome)
 
     def start_cancelling(
-        self, request: OpenRequest, attempt: OpenAttempt, outcome: str = AttemptOutcome.CANCELLED
+        self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome = AttemptOutcome.CANCELLED
     ) -> bool:
         """Close the connection; whether a message follows, after which the attempt gets that outcome."""
         attempt.task.cancel()  # which closes the connection, where its reply is still waited for
@@ -164,7 +164,7 @@
             self.tasks.start(self._tell_worker(request, attempt, outcome))
         return attempt.possibly_running
 
-    async def _tell_worker(self, request: OpenRequest, attempt: OpenAttempt, outcome: str) -> None:
+    async def _tell_worker(self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
         def is_obsolete() -> bool:
             # Before the 202 the closed connection has cancelled it; the message is for one on its way.
             is_accepted = attempt.stage is AttemptStage.ACCEPTED
--- a/locktide/dispatcher/completion.py
+++ b/locktide/dispatcher/completion.py
@@ -9,6 +9,7 @@
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.dispatcher.scheduler_bridge import SchedulerBridge
 from locktide.scheduler.events import AttemptEnded
+from locktide.scheduler.types import AttemptOutcome
 
 
 @dataclass(eq=False, slots=True)
@@ -19,7 +20,7 @@
     bridge: SchedulerBridge
     leases: AttemptLeases
 
-    def finish(self, request: OpenRequest, attempt: OpenAttempt, outcome: str) -> None:
+    def finish(self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
         """End the attempt; the first outcome that is known counts."""
         if not attempt.end(outcome):
             return
--- a/locktide/dispatcher/records.py
+++ b/locktide/dispatcher/records.py
@@ -6,6 +6,7 @@
 from enum import IntEnum
 
 from locktide.protocol.messages import SubmitRequest
+from locktide.scheduler.types import AttemptOutcome
 from locktide.transport.client_connection import Response
 
 
@@ -45,7 +46,7 @@
         self.send_before = 0  # from when on no byte of it may go out; 0 where the deadline alone counts
         self.is_cancelling = False
         self.was_accepted = False  # its worker has said by 202 or by callback that it has the job
-        self.outcome: str | None = None  # once it has ended
+        self.outcome: AttemptOutcome | None = None  # once it has ended
         self.sent_at = 0  # when its last byte was written
         self.fence = 0  # of its lease, where the request is a durable job
         self.lease_expired = False  # its worker has no claim on the job any more
@@ -58,7 +59,7 @@
         self.was_accepted = self.was_accepted or stage is AttemptStage.ACCEPTED
         self.stage = max(self.stage, stage)
 
-    def end(self, outcome: str) -> bool:
+    def end(self, outcome: AttemptOutcome) -> bool:
         """Set the outcome; False where it has one already, as the first that is known counts."""
         if self.stage is AttemptStage.ENDED:
             return False
--- a/locktide/dispatcher/registry.py
+++ b/locktide/dispatcher/registry.py
@@ -6,6 +6,7 @@
 
 from locktide.dispatcher.records import OpenRequest
 from locktide.dispatcher.settings import DispatcherSettings
+from locktide.scheduler.types import RequestId
 from locktide.transport.client_connection import Response
 
 
@@ -13,7 +14,7 @@
     """Owns the open requests; each leaves once it has its response and its attempts their outcomes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: DispatcherSettings) -> None:
-        self.open_requests: dict[str, OpenRequest] = {}
+        self.open_requests: dict[RequestId, OpenRequest] = {}
         # Ids of earlier requests, and when each may be forgotten by the loop's clock; oldest first.
         self.answered_ids: dict[str, float] = {}
         self._loop = loop
@@ -27,7 +28,7 @@
         """Add a request that was not known before."""
         self.open_requests[request.message.id] = request
 
-    def get(self, request_id: str) -> OpenRequest | None:
+    def get(self, request_id: RequestId) -> OpenRequest | None:
         """The open request of that id."""
         return self.open_requests.get(request_id)
 
@@ -37,7 +38,7 @@
             request.is_open and not request.message.background for request in self.open_requests.values()
         )
 
-    def respond(self, request_id: str, response: Response) -> None:
+    def respond(self, request_id: RequestId, response: Response) -> None:
         """Give the request its response; the first one counts."""
         request = self.open_requests.get(request_id)
         if request is not None and request.is_open:
--- a/locktide/dispatcher/requests.py
+++ b/locktide/dispatcher/requests.py
@@ -112,9 +112,9 @@
         """Respond at once to the request on which the scheduler failed, and cancel its attempts."""
         error = command.detail
         self.runtime.log.emit(f"the scheduler failed: {error}", event="scheduler_failed", error=error)
-        request = self.registry.get(command.request_id)
+        request = None if command.request_id is None else self.registry.get(command.request_id)
         if request is not None:
-            self.registry.respond(command.request_id, Response(502, b"terminated\n"))
+            self.registry.respond(request.message.id, Response(502, b"terminated\n"))
             self.cancellations.cancel_unfinished(request)
 
     def time_out(self, request: OpenRequest) -> None:
--- a/locktide/scheduler/commands.py
+++ b/locktide/scheduler/commands.py
@@ -117,7 +117,7 @@
         detail: the end of the traceback.
     """
 
-    request_id: RequestId
+    request_id: RequestId | None
     detail: str
 
 
--- a/locktide/scheduler/events.py
+++ b/locktide/scheduler/events.py
@@ -78,7 +78,7 @@
     deadline: int
     width: float = 1.0
     work_hint: int = 0
-    tenant: TenantId = None
+    tenant: TenantId | None = None
     is_retry: bool = False
     background: bool = False
     affinity_key: int | None = None
@@ -93,14 +93,14 @@
         zone: the zone of the worker at that time.
         cell: the cell of the worker at that time.
         sent_at: when it was sent; negative where that was before the zero of the clock.
-        outcome: how it ended, an `AttemptOutcome`; None while it may still run.
+        outcome: how it ended; None while it may still run.
     """
 
     worker: WorkerId
     zone: str
     cell: int
     sent_at: int
-    outcome: str | None
+    outcome: AttemptOutcome | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -182,14 +182,14 @@
     Attributes:
         request_id: the request of the attempt.
         attempt: the number of the attempt.
-        outcome: how it ended, an `AttemptOutcome`.
+        outcome: how it ended.
         final: whether the request itself has its response.
         load: what the worker reported of its load, by the name of the measure.
     """
 
     request_id: RequestId
     attempt: int
-    outcome: str
+    outcome: AttemptOutcome
     final: bool
     load: dict[str, float] = field(default_factory=dict)
 
--- a/locktide/scheduler/policy/admission.py
+++ b/locktide/scheduler/policy/admission.py
@@ -39,7 +39,7 @@
     def on_disconnect(self, event: ClientDisconnected) -> None:
         """Ends a request whose client has gone."""
         if (request := self.requests.open.get(event.request_id)) and not request.is_answered:
-            self.lifecycle.on_attempt_ended(request, is_final=True)
+            self.lifecycle.finish(request)
 
     def on_quota_shares(self, event: QuotaSharesUpdated) -> None:
         """Takes over the shares in force from now on."""
--- a/locktide/scheduler/policy/load_ratings.py
+++ b/locktide/scheduler/policy/load_ratings.py
@@ -3,11 +3,9 @@
 from math import exp
 
 from locktide.scheduler.events import EndpointEntry
-from locktide.scheduler.log_events import WorkerSuspected
-from locktide.scheduler.policy.outlier_detection import STALE_AFTER
-from locktide.scheduler.state import ActiveConfig, CommandBuffer, EndpointTable, FleetEstimates
+from locktide.scheduler.policy.outlier_detection import OutlierDetector
+from locktide.scheduler.state import ActiveConfig, EndpointTable, FleetEstimates
 from locktide.scheduler.state.load_estimator import LoadEstimator
-from locktide.scheduler.types import SuspicionReason
 
 # What weighs in a draw, in parts of what a usual request earns; 0.02 scored 0.807 for 0.825, noise 0.045.
 COST_SCALE = 0.01
@@ -26,12 +24,12 @@
         config: ActiveConfig,
         endpoints: EndpointTable,
         estimates: FleetEstimates,
-        commands: CommandBuffer,
+        outliers: OutlierDetector,
     ) -> None:
         self._config = config
         self._endpoints = endpoints
         self._estimates = estimates
-        self._commands = commands
+        self._outliers = outliers
         self._estimator = LoadEstimator()
         self._exclusive_types: set[str | None] = set()
 
@@ -58,14 +56,6 @@
             if entry.worker_type in self._exclusive_types:
                 weight *= 0.25
             endpoint.draw_weight = weight
-        self._suspect_stale(renewed)
-
-    def _suspect_stale(self, renewed: int) -> None:
+        self._outliers.record_ratings(renewed)
         ready = self._endpoints.candidates.get(None, [])
-        if 2 * renewed > len(ready):
-            for endpoint in ready:
-                # Guards against one that takes work and does none: its rating stands still.
-                endpoint.stale_ratings += endpoint.load > 0.0
-                if endpoint.stale_ratings == STALE_AFTER:
-                    self._commands.log(WorkerSuspected(endpoint.id, SuspicionReason.STALE_RATING))
         self._estimates.mean_load = sum([endpoint.load for endpoint in ready]) / max(1, len(ready))
--- a/locktide/scheduler/policy/load_shedding.py
+++ b/locktide/scheduler/policy/load_shedding.py
@@ -5,7 +5,7 @@
 from locktide.scheduler.commands import FailRequest, RejectRequest
 from locktide.scheduler.config import ServiceClass
 from locktide.scheduler.log_events import RequestRejected
-from locktide.scheduler.policy.repeat_rules import may_reject, repeats_until
+from locktide.scheduler.policy.retry_eligibility import may_reject, repeats_until
 from locktide.scheduler.state import (
     ActiveConfig,
     Clock,
--- a/locktide/scheduler/policy/placement.py
+++ b/locktide/scheduler/policy/placement.py
@@ -9,8 +9,8 @@
 from locktide.scheduler.policy.concurrency_limit import has_capacity
 from locktide.scheduler.policy.load_ratings import COST_SCALE
 from locktide.scheduler.policy.outlier_detection import OutlierDetector, is_suspected
-from locktide.scheduler.policy.repeat_rules import where_repeatable
 from locktide.scheduler.policy.request_lifecycle import RequestLifecycle
+from locktide.scheduler.policy.retry_eligibility import where_repeatable
 from locktide.scheduler.policy.slow_start import SlowStartBudget
 from locktide.scheduler.state import ActiveConfig, Clock, Endpoint, EndpointTable, FleetEstimates, Request
 from locktide.scheduler.types import Effect
--- a/locktide/scheduler/policy/quotas.py
+++ b/locktide/scheduler/policy/quotas.py
@@ -1,11 +1,9 @@
 """Tenants' quotas: what is within them, what a loan covers, what is beyond."""
 
-from typing import Any
-
 from locktide.scheduler.estimators.token_bucket import TokenBucket
 from locktide.scheduler.events import QuotaSharesUpdated, QuotaStage
 from locktide.scheduler.state import ActiveConfig, Clock
-from locktide.scheduler.types import QuotaCoverage
+from locktide.scheduler.types import QuotaCoverage, TenantId
 
 OWN, BORROWED, BEYOND = QuotaCoverage.OWN, QuotaCoverage.BORROWED, QuotaCoverage.BEYOND
 BURST = 5.0  # seconds of the quota at most: traffic comes in bunches
@@ -26,16 +24,16 @@
         self.buckets = {
             tenant: TokenBucket(BURST * quota / dispatchers, 0) for tenant, quota in self._quotas.items()
         }
-        self._borrowed_buckets = dict[Any, TokenBucket]()  # the same of what others have lent them
+        self._borrowed_buckets = dict[TenantId, TokenBucket]()  # the same of what others have lent them
 
     def stage(self) -> QuotaStage:
         """The stage of the agreed shares that is in force now."""
         now = self._clock.now
         return next((stage for stage in self.shares.stages if now < stage.until), NO_STAGE)
 
-    def cover(self, tenant: Any) -> QuotaCoverage:
+    def cover(self, tenant: TenantId | None) -> QuotaCoverage:
         """By what one more request of the tenant is covered, which that uses up."""
-        if (bucket := self.buckets.get(tenant)) is None:
+        if tenant is None or (bucket := self.buckets.get(tenant)) is None:
             return OWN
         now, stage, quota = self._clock.now, self.stage(), self._quotas[tenant]
         share = stage.shares.get(tenant, self._config.dispatcher_share)
--- a/locktide/scheduler/policy/retries.py
+++ b/locktide/scheduler/policy/retries.py
@@ -1,64 +1,73 @@
-"""Retries: which further attempts there may be, and which pay."""
+"""Retries: when an attempt in doubt is cancelled for one, and how long a request waits before it.
+
+An attempt in doubt (`attempt_timeouts`) is cancelled, so that its request may be sent elsewhere, if
+- one more attempt is allowed (`retry_eligibility`),
+- the retry budget allows it (`retry_budget`), and
+- the request is idempotent, or the attempt is as good as lost: what may be repeated in few places only
+  would most likely give up its place in a queue for a worse one.
+
+Backoff: after a worker was full, a request waits a part of its queue timeout, so that the attempts it may
+have last for the whole of it. What comes back to the pool gets its queue timeout anew, but no more than its
+deadline allows. Spans are in microseconds.
+"""
 
 from locktide.scheduler.commands import CancelAttempt
-from locktide.scheduler.policy.repeat_rules import repeats_until
+from locktide.scheduler.policy.load_shedding import LoadShedder
+from locktide.scheduler.policy.retry_budget import RetryBudget
+from locktide.scheduler.policy.retry_eligibility import may_attempt
 from locktide.scheduler.state import ActiveConfig, Attempt, Clock, CommandBuffer, Request
 
-MAX_RETRY_BUDGET = 10.0  # ten let a dispatcher meet a sudden trouble at once
-
 
 class RetryPolicy:
-    """Keeps the retry budget, and cancels attempts in whose place a retry pays."""
+    """Cancels attempts in whose place a retry pays, and sets how long a request waits for its next."""
 
-    def __init__(self, clock: Clock, config: ActiveConfig, commands: CommandBuffer) -> None:
+    def __init__(
+        self, *, clock: Clock, config: ActiveConfig, commands: CommandBuffer, shedder: LoadShedder
+    ) -> None:
         self._clock = clock
         self._config = config
         self._commands = commands
-        self._budget = MAX_RETRY_BUDGET
+        self._shedder = shedder
+        self.budget = RetryBudget()
 
     def may_attempt(self, request: Request) -> bool:
-        """Whether one more attempt of the request is allowed at all."""
-        if len(request.attempts) - request.uncounted_attempts >= self._config.current.retry.max_attempts:
-            return False
-        if not request.possibly_executed:
-            return True
-        return not request.is_at_most_once and not 0 < repeats_until(request) <= self._clock.now
-
-    def on_sent(self, attempt: Attempt) -> None:
-        """Takes a retry from the budget."""
-        if attempt.is_retry:
-            self._budget -= 1.0
-
-    def on_prompt_start(self, attempt: Attempt) -> None:
-        """The retry found a better place: the next is paid for."""
-        if attempt.is_retry:
-            self._budget = min(MAX_RETRY_BUDGET, self._budget + 1.0)
-
-    def on_success(self) -> None:
-        """A tenth of what goes well may be followed by a retry all the same."""
-        self._budget = min(MAX_RETRY_BUDGET, self._budget + 0.1)
+        """Return whether one more attempt of the request is allowed at all."""
+        return may_attempt(request, self._clock.now, self._config.current.retry.max_attempts)
 
     def on_not_run(self, attempt: Attempt, is_unsent: bool) -> None:
-        """Keeps account of an attempt that is proven not to have run."""
-        # Guards against giving up a job for which nobody waits, as four workers at once had no room; and
-        # against using up all attempts within milliseconds where a zone is lost and only the lost may have
-        # what may have run. Both wait until there is one.
-        request, is_free = attempt.request, is_unsent and not self._config.current.retry.counts_unsent
+        """Account for an attempt that is proven not to have run."""
+        # A request for which nobody waits would fail as soon as a few workers in a row were full, and one
+        # that only workers of a lost zone may have would use up its attempts within milliseconds of refused
+        # connections. Neither counts such attempts, so that it waits until a worker can have it
+        # (test_what_only_a_lost_zone_may_have_waits_for_it_and_spins_on_nothing).
+        request = attempt.request
+        is_free = is_unsent and not self._config.current.retry.counts_unsent
         request.uncounted_attempts += is_free or request.is_background
         if is_free and not request.is_background:
-            self._budget += attempt.is_retry
+            self.budget.on_unsent(attempt)
         request.possibly_executed.remove(attempt)
 
-    def cancel_if_retry_pays(self, attempt: Attempt) -> None:
-        """Makes room for a retry in the place of an attempt in doubt, while such ones pay."""
+    def cancel_if_retry_pays(self, attempt: Attempt, is_presumed_lost: bool) -> None:
+        """Make room for a retry in the place of an attempt in doubt."""
         request = attempt.request
-        # Guards against giving up a place for a worse one: bound work waits until it is as good as lost.
-        is_lost = attempt.started_at or self._clock.now >= attempt.presumed_lost_at
-        is_bound = not request.is_idempotent and not is_lost
-        if self.may_attempt(request) and self._budget >= 1.0 and not is_bound:
+        is_bound = not request.is_idempotent and not is_presumed_lost
+        if self.may_attempt(request) and self.budget.allows_retry() and not is_bound:
             self.cancel(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancels an attempt, where that can be done."""
+        """Cancel an attempt, where that can be done."""
         if self._config.current.retry.can_cancel:
             self._commands.add(CancelAttempt(attempt.request.id, attempt.number))
+
+    def back_off(self, request: Request) -> None:
+        """Let the request wait before its next attempt, after a worker was full."""
+        # While every worker is full, a request would otherwise use up its attempts in a small part of its
+        # queue timeout and fail, though a worker has room soon after.
+        timeout = self._shedder.queue_timeout(request)
+        request.not_before = self._clock.now + timeout // self._config.current.retry.max_attempts
+
+    def renew_queue_deadline(self, request: Request) -> None:
+        """Let the request, which comes back to the pool, wait for its queue timeout once more."""
+        renewed = self._clock.now + self._shedder.queue_timeout(request)
+        renewed = min(self._shedder.latest_queue_deadline(request), renewed)
+        request.queue_deadline = max(request.queue_deadline, renewed)
--- a/locktide/scheduler/scheduler.py
+++ b/locktide/scheduler/scheduler.py
@@ -1,7 +1,7 @@
 """The scheduler: it wires the mechanisms of `policy` together and hands each event to the one it concerns."""
 
 from collections.abc import Callable, Sequence
-from typing import Any, TypeVar
+from typing import TypeAlias, TypeVar, cast
 
 from locktide.scheduler.commands import Command
 from locktide.scheduler.config import SchedulerConfig
@@ -50,10 +50,12 @@
     Timers,
 )
 from locktide.scheduler.state.recovery import AttemptRecovery
+from locktide.scheduler.types import RequestId
 
 ROUND = TimerPurpose.ROUND  # bound once: an access through the enum class costs 0.2 to 0.3 us
 EventT = TypeVar("EventT", bound=Event)
-RequestEvent = (
+EventHandler: TypeAlias = Callable[[Event], None]
+RequestEvent: TypeAlias = (
     RequestArrived | AttemptSent | AttemptStarted | AttemptProgressed | AttemptEnded | ClientDisconnected
 )
 
@@ -64,8 +66,8 @@
     def __init__(self, seed: int, config: SchedulerConfig) -> None:
         self._create_state(seed, config)
         self._create_policies()
-        # Streams and probes have no handler: no decision rests on them yet.
-        self._handlers: dict[type, Callable[[Any], None]] = {}
+        # `ResponseStarted` and `ProbeCompleted` have no handler: no decision rests on them yet.
+        self._handlers: dict[type[object], EventHandler] = {}
         self._register_handlers()
         self._configure()
 
@@ -81,7 +83,7 @@
             try:
                 handler(event)
             except Exception:  # protects the other events: a fault of ours costs one event or request
-                self._errors.report(request_concerned(target or event))
+                self._errors.report(request_id_of(target or event))
         self.endpoint_list.poll_when_due()
         self.rounds.run()
         return self._commands.collected()
@@ -100,7 +102,6 @@
         self._errors = InternalErrors(self._commands, self.requests)
 
     def _create_policies(self) -> None:
-        self.timeouts = AttemptTimeouts(self.config)
         self.limiter = ConcurrencyLimiter(self.clock, self.config, self.estimates)
         self.quotas = TenantQuotas(self.clock, self.config)
         self.load_shedder = LoadShedder(
@@ -111,13 +112,27 @@
             estimates=self.estimates,
             commands=self._commands,
         )
+        self.outliers = OutlierDetector(
+            clock=self.clock,
+            random=self.random,
+            endpoints=self.endpoints,
+            estimates=self.estimates,
+            commands=self._commands,
+        )
         self.load_ratings = LoadRatings(
-            config=self.config, endpoints=self.endpoints, estimates=self.estimates, commands=self._commands
+            config=self.config, endpoints=self.endpoints, estimates=self.estimates, outliers=self.outliers
         )
-        self.outliers = OutlierDetector(
-            clock=self.clock, random=self.random, endpoints=self.endpoints, commands=self._commands
+        self.retries = RetryPolicy(
+            clock=self.clock, config=self.config, commands=self._commands, shedder=self.load_shedder
+        )
+        self.timeouts = AttemptTimeouts(
+            clock=self.clock,
+            config=self.config,
+            estimates=self.estimates,
+            timers=self.timers,
+            outliers=self.outliers,
+            retries=self.retries,
         )
-        self.retries = RetryPolicy(self.clock, self.config, self._commands)
         self.slow_start = SlowStartBudget(
             clock=self.clock,
             config=self.config,
@@ -130,8 +145,6 @@
             config=self.config,
             requests=self.requests,
             attempts=self._attempts,
-            estimates=self.estimates,
-            timers=self.timers,
             commands=self._commands,
             timeouts=self.timeouts,
             shedder=self.load_shedder,
@@ -190,11 +203,9 @@
         )
         self.outcomes = AttemptOutcomes(
             clock=self.clock,
-            config=self.config,
             requests=self.requests,
             attempts=self._attempts,
             estimates=self.estimates,
-            timers=self.timers,
             timeouts=self.timeouts,
             endpoint_list=self.endpoint_list,
             lifecycle=self.lifecycle,
@@ -217,7 +228,8 @@
         self._handle(TimerFired, self._on_timer)
 
     def _handle(self, event_type: type[EventT], handler: Callable[[EventT], None]) -> None:
-        self._handlers[event_type] = handler
+        # A handler is called with events of its own type only, which the table of all of them cannot express.
+        self._handlers[event_type] = cast(EventHandler, handler)
 
     def _on_config_reloaded(self, event: ConfigReloaded) -> None:
         self.config.replace(event.config)
@@ -238,13 +250,13 @@
         if target is ROUND:
             self.rounds.on_timer()
         elif isinstance(target, Attempt) and target in target.request.in_flight:
-            self.outcomes.check(target)
+            self.timeouts.check(target)
 
 
-def request_concerned(event: object) -> Any:
-    """The id of the request that an event, or the attempt for which a timer was set, is about; else None."""
-    if isinstance(event, Attempt):
-        return event.request.id
-    if isinstance(event, RequestRecovered):
-        return event.arrival.request_id
-    return event.request_id if isinstance(event, RequestEvent) else None
+def request_id_of(subject: Event | Attempt | TimerPurpose) -> RequestId | None:
+    """Return the id of the request that an event or a timer belongs to; None without one."""
+    if isinstance(subject, Attempt):
+        return subject.request.id
+    if isinstance(subject, RequestRecovered):
+        return subject.arrival.request_id
+    return subject.request_id if isinstance(subject, RequestEvent) else None
--- a/locktide/scheduler/state/__init__.py
+++ b/locktide/scheduler/state/__init__.py
@@ -1,7 +1,6 @@
 """What the scheduler's policies share: requests, attempts, endpoints, estimates. Nothing here decides."""
 
 from locktide.scheduler.state.active_config import ActiveConfig
-from locktide.scheduler.state.attempt import Attempt
 from locktide.scheduler.state.clock import Clock
 from locktide.scheduler.state.command_buffer import CommandBuffer
 from locktide.scheduler.state.endpoint import Endpoint
@@ -9,7 +8,7 @@
 from locktide.scheduler.state.fleet_estimates import FleetEstimates
 from locktide.scheduler.state.internal_errors import InternalErrors
 from locktide.scheduler.state.open_attempts import OpenAttempts
-from locktide.scheduler.state.request import Request
+from locktide.scheduler.state.request import Attempt, Request
 from locktide.scheduler.state.request_pool import RequestPool
 from locktide.scheduler.state.timers import TimerPurpose, Timers
 
--- a/locktide/scheduler/state/fleet_estimates.py
+++ b/locktide/scheduler/state/fleet_estimates.py
@@ -5,10 +5,9 @@
 from locktide.scheduler.estimators.run_time import RunTimeEstimator
 from locktide.scheduler.estimators.throughput import ThroughputEstimator
 from locktide.scheduler.state.active_config import ActiveConfig
-from locktide.scheduler.state.attempt import Attempt
 from locktide.scheduler.state.clock import Clock
 from locktide.scheduler.state.endpoint import Endpoint
-from locktide.scheduler.state.request import Request
+from locktide.scheduler.state.request import Attempt, Request
 
 #: Slots of an endpoint until more of ours were seen running on one.
 INITIAL_SLOTS_PER_ENDPOINT = 2.0
@@ -50,7 +49,7 @@
 
     def observe_running(self, endpoint: Endpoint) -> None:
         """Learn how many slots an endpoint has from how many of ours run there."""
-        running = endpoint.in_flight - sum([attempt.request.width for attempt in endpoint.unstarted])
+        running = endpoint.in_flight - sum([attempt.width for attempt in endpoint.unstarted])
         self.slots_per_endpoint = max(self.slots_per_endpoint, running)
         self.is_sparse = 3.0 * self.slots_per_endpoint * self._config.dispatcher_share < 1.0
 
--- a/locktide/scheduler/state/internal_errors.py
+++ b/locktide/scheduler/state/internal_errors.py
@@ -21,9 +21,10 @@
         self._commands = commands
         self._requests = requests
 
-    def report(self, request_id: RequestId) -> None:
+    def report(self, request_id: RequestId | None) -> None:
         """Report the exception that is being handled; the host answers the request, if one is named."""
         detail = " | ".join(format_exc().splitlines()[-TRACEBACK_LINES:])
-        if request := self._requests.open.get(request_id):
+        request = None if request_id is None else self._requests.open.get(request_id)
+        if request is not None:
             self._requests.close(request)
         self._commands.add(ReportInternalError(request_id, detail))
--- a/locktide/scheduler/state/open_attempts.py
+++ b/locktide/scheduler/state/open_attempts.py
@@ -3,10 +3,9 @@
 from __future__ import annotations
 
 from locktide.scheduler.state.active_config import ActiveConfig
-from locktide.scheduler.state.attempt import Attempt
 from locktide.scheduler.state.clock import Clock
 from locktide.scheduler.state.endpoint import Endpoint
-from locktide.scheduler.state.request import Request
+from locktide.scheduler.state.request import Attempt, Request
 
 
 class OpenAttempts:
--- a/locktide/scheduler/state/recovery.py
+++ b/locktide/scheduler/state/recovery.py
@@ -1,11 +1,10 @@
 """Attempts that an earlier process made, as data of this one."""
 
 from locktide.scheduler.events import EndpointEntry, RecoveredAttempt
-from locktide.scheduler.state.attempt import Attempt
 from locktide.scheduler.state.endpoint import Endpoint
 from locktide.scheduler.state.endpoint_table import EndpointTable
 from locktide.scheduler.state.open_attempts import OpenAttempts
-from locktide.scheduler.state.request import Request
+from locktide.scheduler.state.request import Attempt, Request
 from locktide.scheduler.types import PROVEN_NOT_RUN, EndpointState
 
 
--- a/locktide/scheduler/state/request.py
+++ b/locktide/scheduler/state/request.py
@@ -1,18 +1,15 @@
-"""One request and its attempts."""
+"""One request and its attempts. Times are microseconds of the scheduler's clock."""
 
 from __future__ import annotations
 
-from typing import Any
-
 from locktide.scheduler.config import ServiceClass
 from locktide.scheduler.events import RequestArrived
-from locktide.scheduler.state.attempt import Attempt
 from locktide.scheduler.state.endpoint import Endpoint
-from locktide.scheduler.types import Effect
+from locktide.scheduler.types import Effect, TenantId
 
 
 class Request:
-    """A request from its arrival to the end of its last attempt. Times are microseconds."""
+    """A request from its arrival to the end of its last attempt."""
 
     __slots__ = (
         "id",
@@ -41,19 +38,58 @@
     )
 
     def __init__(self, arrival: RequestArrived, service_class: ServiceClass, now: int, sequence: int) -> None:
-        self.id, self.service_class, self.width = arrival.request_id, service_class, arrival.width
-        self.work_hint, self.sequence = arrival.work_hint, sequence
-        self.arrived_at, self.deadline = now, arrival.deadline
+        self.id = arrival.request_id
+        self.service_class = service_class
+        self.width = arrival.width  # slots of a worker
+        self.work_hint = arrival.work_hint  # its run time as the client estimates it; 0: no estimate
+        self.sequence = sequence  # in the order of arrival
+        self.arrived_at = now
+        self.deadline = arrival.deadline
         self.queue_deadline = self.deadline  # when waiting in the pool stops to pay
-        self.not_before = 0  # after a refusal: when it may go out again
+        self.not_before = 0  # after a worker was full: when it may be sent again
         self.attempts: list[Attempt] = []
         self.in_flight: list[Attempt] = []  # attempts without an outcome
         self.possibly_executed: list[Attempt] = []  # attempts not proven never to have run
-        self.uncounted_attempts = 0  # that do not count towards the most there may be
-        self.error_endpoints: list[Endpoint] = []  # sound ones at which it failed
-        self.in_pool = self.is_answered = False
-        self.is_background, self.is_unprocessable = arrival.background, False
+        self.uncounted_attempts = 0  # attempts that do not count towards the most there may be
+        self.error_endpoints: list[Endpoint] = []  # not suspected ones at which it failed
+        self.in_pool = False
+        self.is_answered = False
+        self.is_background = arrival.background
+        self.is_unprocessable = False  # it failed at two endpoints that were not suspected
         self.is_idempotent = service_class.effect == Effect.IDEMPOTENT
         self.is_at_most_once = service_class.effect == Effect.AT_MOST_ONCE
-        self.affinity_key, self.placement = arrival.affinity_key, service_class.placement
-        self.borrowing_tenant: Any = None  # its tenant, where a loan covers it
+        self.affinity_key = arrival.affinity_key
+        self.placement = service_class.placement
+        self.borrowing_tenant: TenantId | None = None  # its tenant, where a loan covers it
+
+
+class Attempt:
+    """When and where a request was sent, and the signs of the attempt since then."""
+
+    __slots__ = (
+        "request",
+        "number",
+        "endpoint",
+        "width",
+        "ordered_at",
+        "sent_at",
+        "started_at",
+        "last_heard_at",
+        "filled_limit",
+        "is_retry",
+        "failure_recorded",
+    )
+
+    def __init__(self, request: Request, number: int, endpoint: Endpoint, now: int) -> None:
+        self.request = request
+        self.number = number
+        self.endpoint = endpoint
+        self.width = request.width
+        self.ordered_at = now  # when its command was given
+        self.sent_at = now  # the same, until its last byte is reported as sent
+        self.started_at = 0  # 0 until its worker reports the start
+        self.last_heard_at = 0  # when its worker last reported its start or progress
+        # Whether it took what the concurrency limit had left.
+        self.filled_limit = endpoint.in_flight + request.width > endpoint.concurrency_limit - 1
+        self.is_retry = bool(request.possibly_executed)
+        self.failure_recorded = False  # whether it has made its endpoint suspected
--- a/locktide/scheduler/state/request_pool.py
+++ b/locktide/scheduler/state/request_pool.py
@@ -4,8 +4,7 @@
 
 from bisect import insort
 
-from locktide.scheduler.state.attempt import Attempt
-from locktide.scheduler.state.request import Request
+from locktide.scheduler.state.request import Attempt, Request
 from locktide.scheduler.types import RequestId
 
 
--- a/locktide/scheduler/state/timers.py
+++ b/locktide/scheduler/state/timers.py
@@ -5,8 +5,8 @@
 from enum import Enum
 
 from locktide.scheduler.commands import SetTimer
-from locktide.scheduler.state.attempt import Attempt
 from locktide.scheduler.state.command_buffer import CommandBuffer
+from locktide.scheduler.state.request import Attempt
 
 
 class TimerPurpose(Enum):
--- a/locktide/scheduler/types.py
+++ b/locktide/scheduler/types.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from enum import StrEnum
-from typing import Any, TypeAlias
+from typing import TypeAlias
 
 # Ids are the host's own, strings of a dispatcher and numbers of the simulator: the scheduler only hashes and
 # compares them.
-RequestId: TypeAlias = Any
+RequestId: TypeAlias = str | int
 WorkerId: TypeAlias = str
-TenantId: TypeAlias = Any
+TenantId: TypeAlias = str
 
 
 class Effect(StrEnum):
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -596,7 +596,7 @@
         def faulty(attempt: Any) -> None:
             raise ValueError("out of sorts")
 
-        scheduler.outcomes.check = faulty
+        scheduler.timeouts.check = faulty
         answer = play.node.submit(submission("a"))
         (await play.sent("a")).reply(202)
         timers = scheduler.timers.pending
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -170,8 +170,8 @@
 
     def give_up(self, one: int, order: CancelAttempt) -> None:
         for queue in self.queue.values():
-            if (one, order.request_id) in queue:
-                queue.remove((one, order.request_id))
+            if (waiting := (one, int(order.request_id))) in queue:
+                queue.remove(waiting)
                 self.tell(one, AttemptEnded(order.request_id, order.attempt, AttemptOutcome.CANCELLED, False))
                 return
 
--- a/tests/simulation/test_checker.py
+++ b/tests/simulation/test_checker.py
@@ -21,7 +21,7 @@
     RequestArrived,
     TimerFired,
 )
-from locktide.scheduler.types import EndpointState
+from locktide.scheduler.types import EndpointState, RequestId
 from locktide.simulation import outcome
 from locktide.simulation import rendered_config as told_module
 from locktide.simulation.model import scenario as script
@@ -70,7 +70,7 @@
 
     def __init__(self, seed: int, config: SchedulerConfig) -> None:
         self.workers: dict[str, EndpointEntry] = {}
-        self.kept: dict[str, RequestArrived] = {}
+        self.kept: dict[RequestId, RequestArrived] = {}
         self.turns = 0
 
     def ready(self) -> list[str]:
