--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -1,11 +1,12 @@
-"""What a cold worker gets from all dispatchers together, as it counts it itself: in any window, in work."""
+"""Slow start: what a warming endpoint is sent by all dispatchers together, as it counts the work itself."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from functools import partial
 from heapq import heappop, heappush
 from math import sqrt
 from random import Random
-from typing import Any
 
 import pytest
 from helpers import listed
@@ -28,155 +29,195 @@
     AttemptEnded,
     AttemptStarted,
     EndpointListUpdate,
+    Event,
     RequestArrived,
     TimerFired,
 )
 from locktide.scheduler.scheduler import Scheduler
 from locktide.scheduler.types import AttemptOutcome, DeduplicationScope, Effect, ListUpdateKind
 
-STEP, SLOTS, SPAN, WAY = 4_000, 3, 12_000_000, 3_000
-SPEEDS = (1.5, 1.0, 0.6)  # of the kinds
-WORK = {"view": 550_000, "long": 3_300_000}  # usual, at speed 1
+#: Slots of each worker.
+SLOTS = 3
+#: Times in microseconds: a round, the run that is played, the way of a message between dispatcher and worker.
+ROUND_INTERVAL = 4_000
+SPAN = 12_000_000
+LATENCY = 3_000
+START = 10_000_000
+#: Speeds of the three worker types.
+SPEEDS = (1.5, 1.0, 0.6)
+#: Usual work of each service class, in microseconds at speed 1, and its share of the requests.
+WORK = {"view": 550_000, "long": 3_300_000}
 SHARES = {"view": 0.35, "long": 0.65}
-FACTOR, WINDOW, COLD_FROM, WARM_AFTER = 4.0, 2_000_000, 0.35, 8_000_000
+USUAL_WORK = sum(SHARES[name] * work for name, work in WORK.items())
+#: Requests arrive at this multiple of what the workers can run once they are warm.
+OVERLOAD = 1.1
+
+
+def service_class(name: str, latency_objective: int, timeout: int) -> ServiceClass:
+    return ServiceClass(
+        name=name,
+        effect=Effect.IDEMPOTENT,
+        deduplication_scope=DeduplicationScope.FLEET,
+        deduplication_window=0,
+        latency_objective=latency_objective,
+        stretch=2.0,
+        timeout=timeout,
+        priority_weight=5.0,
+        overdue_weight=0.5,
+        worker_type=None,
+    )
+
+
+def scheduler_config(dispatcher_count: int, margin: float) -> SchedulerConfig:
+    return SchedulerConfig(
+        round_interval=ROUND_INTERVAL,
+        dispatcher_count=dispatcher_count,
+        service_classes=[
+            service_class("view", latency_objective=250_000, timeout=6_000_000),
+            service_class("long", latency_objective=2_000_000, timeout=25_000_000),
+        ],
+        retry=RetryConfig(max_attempts=4, can_cancel=True, counts_unsent=False),
+        clients=ClientConfig(max_retry_after=0),
+        quotas=QuotaConfig(quotas={}, beyond_quota_weight=1.0),
+        objective=ObjectiveConfig(worst_class_weight=0.4),
+        slow_start=SlowStartConfig(
+            overload_factor=4.0, window=2_000_000, initial_capacity=0.35, warmup=8_000_000, margin=margin
+        ),
+        endpoint_list=EndpointListConfig(polled=False, poll_within=10_000_000),
+        progress=ProgressConfig(reports_start=True, report_interval=1_000_000),
+        costs=CostConfig(),
+    )
 
 
 class Burst:
-    """Dispatchers of which each sees its own part, and workers of three kinds, some of them just started."""
-
-    def __init__(self, seed: int, fleet: int, warm: int, cold: int, margin: float) -> None:
-        self.dice, self.events, self.made, self.now = Random(seed), list[Any](), 0, 0
-        grades = [
-            ServiceClass(
-                "view",
-                Effect.IDEMPOTENT,
-                DeduplicationScope.FLEET,
-                0,
-                250_000,
-                2.0,
-                6_000_000,
-                5.0,
-                0.5,
-                None,
-            ),
-            ServiceClass(
-                "long",
-                Effect.IDEMPOTENT,
-                DeduplicationScope.FLEET,
-                0,
-                2_000_000,
-                2.0,
-                25_000_000,
-                5.0,
-                0.5,
-                None,
-            ),
-        ]
-        config = SchedulerConfig(
-            STEP,
-            fleet,
-            grades,
-            RetryConfig(4, True, False),
-            ClientConfig(0),
-            QuotaConfig({}, 1.0),
-            ObjectiveConfig(0.4),
-            SlowStartConfig(FACTOR, WINDOW, COLD_FROM, WARM_AFTER, margin),
-            EndpointListConfig(False, 10_000_000),
-            ProgressConfig(True, 1_000_000),
-            CostConfig(),
-        )
-        self.fleet = [Scheduler(seed * 1000 + one, config) for one in range(fleet)]
-        self.begun = 10_000_000
-        self.names = [f"warm{one}" for one in range(warm)] + [f"cold{one}" for one in range(cold)]
-        self.speed = {name: SPEEDS[place % 3] for place, name in enumerate(self.names)}
-        self.got: dict[str, list[tuple[int, float]]] = {name: [] for name in self.names}
-        self.running = dict.fromkeys(self.names, 0)
-        self.queue: dict[str, list[tuple[int, int]]] = {name: [] for name in self.names}
-        self.work: dict[int, float] = {}
-        self.usual = sum(SHARES[grade] * work for grade, work in WORK.items())
+    """Dispatchers that each see their part of the requests, and workers of which some have just started."""
+
+    def __init__(self, seed: int, dispatcher_count: int, warm: int, warming: int, margin: float) -> None:
+        self.random = Random(seed)
+        self.now = 0
+        self.actions: list[tuple[int, int, Callable[[], None]]] = []
+        self.planned = 0
+        config = scheduler_config(dispatcher_count, margin)
+        self.slow_start = config.slow_start
+        self.schedulers = [Scheduler(seed * 1000 + number, config) for number in range(dispatcher_count)]
+        self.warming = [f"warming{number}" for number in range(warming)]
+        self.workers = [f"warm{number}" for number in range(warm)] + self.warming
+        self.speeds = {name: SPEEDS[place % len(SPEEDS)] for place, name in enumerate(self.workers)}
+        self.received: dict[str, list[tuple[int, float]]] = {name: [] for name in self.workers}
+        self.running = dict.fromkeys(self.workers, 0)
+        self.queues: dict[str, list[tuple[int, int]]] = {name: [] for name in self.workers}
+        self.work: dict[int, float] = {}  # of each request, in microseconds at speed 1
+        self.plan_list()
+        self.plan_arrivals()
+
+    def plan_list(self) -> None:
         entries = [
-            listed(name, started_at=self.begun * name.startswith("cold"), kind=f"at {self.speed[name]}")
-            for name in self.names
+            listed(name, started_at=START * (name in self.warming), kind=f"speed {self.speeds[name]}")
+            for name in self.workers
         ]
-        for one in range(fleet):
-            self.at(self.begun, self.tell, one, EndpointListUpdate(ListUpdateKind.SNAPSHOT, entries))
-        rate = 1.1 * SLOTS * sum(self.speed.values()) / self.usual
-        moment, number = float(self.begun), 0
-        while moment < self.begun + SPAN:
-            moment, number = moment + self.dice.expovariate(rate), number + 1
-            self.at(int(moment), self.come, self.dice.randrange(fleet), number)
-
-    def at(self, moment: int, what: Any, *given: Any) -> None:
-        self.made += 1
-        heappush(self.events, (moment, self.made, what, given))
+        for number in range(len(self.schedulers)):
+            self.emit_at(START, number, EndpointListUpdate(ListUpdateKind.SNAPSHOT, entries))
+
+    def plan_arrivals(self) -> None:
+        rate = OVERLOAD * SLOTS * sum(self.speeds.values()) / USUAL_WORK
+        moment, request = float(START), 0
+        while moment < START + SPAN:
+            moment, request = moment + self.random.expovariate(rate), request + 1
+            dispatcher = self.random.randrange(len(self.schedulers))
+            self.at(int(moment), partial(self.arrive, dispatcher, request))
+
+    def at(self, moment: int, action: Callable[[], None]) -> None:
+        self.planned += 1
+        heappush(self.actions, (moment, self.planned, action))
+
+    def emit_at(self, moment: int, dispatcher: int, event: Event) -> None:
+        self.at(moment, partial(self.emit, dispatcher, event))
 
     def run(self) -> float:
-        """The most that a cold worker got in a window, beside what fells it."""
-        while self.events and self.events[0][0] < self.begun + SPAN:
-            self.now, _, what, given = heappop(self.events)
-            what(*given)
-        return max(self.worst(name) for name in self.names if name.startswith("cold"))
-
-    def warmth(self, name: str) -> float:
-        age = self.now - self.begun
-        fresh = name.startswith("cold") and age < WARM_AFTER
-        return COLD_FROM + (1.0 - COLD_FROM) * age / WARM_AFTER if fresh else 1.0
-
-    def worst(self, name: str) -> float:
-        most, got = 0.0, self.got[name]
-        for self.now, _ in got:
-            if self.now < self.begun + WARM_AFTER:
-                sent = sum(work for at, work in got if self.now - WINDOW < at <= self.now) / self.usual
-                bears = FACTOR * WINDOW * SLOTS * self.speed[name] * self.warmth(name) / self.usual
-                most = max(most, sent / (bears + 2.0 * sqrt(bears) + 2.0))
-        return most
-
-    def come(self, one: int, number: int) -> None:
-        grade = self.dice.choices(list(SHARES), list(SHARES.values()))[0]
-        self.work[number] = self.dice.lognormvariate(-0.125, 0.5) * WORK[grade]
-        self.tell(one, RequestArrived(number, grade, self.now + 25_000_000))
-
-    def tell(self, one: int, news: Any) -> None:
-        for order in self.fleet[one].step(self.now, [news]):
-            if type(order) is SetTimer:
-                self.at(self.now + max(STEP, order.delay), self.tell, one, TimerFired(order.timer_id))
-            elif type(order) is StartAttempt:
-                self.at(self.now + WAY, self.reach, one, order.request_id, order.worker)
-            elif type(order) is CancelAttempt:
-                self.at(self.now + 2 * WAY, self.give_up, one, order)
-
-    def reach(self, one: int, number: int, name: str) -> None:
-        self.got[name].append((self.now, self.work[number]))
-        if self.running[name] < SLOTS:
-            self.begin(one, number, name)
+        """Return the most that a warming worker received in a window, over what overloads it."""
+        while self.actions and self.actions[0][0] < START + SPAN:
+            self.now, _, action = heappop(self.actions)
+            action()
+        return max(self.worst_window(name) for name in self.warming)
+
+    def factor(self, worker: str, now: int) -> float:
+        age = now - START
+        if worker not in self.warming or age >= self.slow_start.warmup:
+            return 1.0
+        initial = self.slow_start.initial_capacity
+        return initial + (1.0 - initial) * age / self.slow_start.warmup
+
+    def worst_window(self, worker: str) -> float:
+        worst, config = 0.0, self.slow_start
+        received = self.received[worker]
+        for end, _ in received:
+            if end >= START + config.warmup:
+                continue
+            in_window = [work for moment, work in received if end - config.window < moment <= end]
+            sent = sum(in_window) / USUAL_WORK
+            capacity = config.window * SLOTS * self.speeds[worker] * self.factor(worker, end)
+            limit = config.overload_factor * capacity / USUAL_WORK
+            worst = max(worst, sent / (limit + 2.0 * sqrt(limit) + 2.0))
+        return worst
+
+    def arrive(self, dispatcher: int, request: int) -> None:
+        name = self.random.choices(list(SHARES), list(SHARES.values()))[0]
+        self.work[request] = self.random.lognormvariate(-0.125, 0.5) * WORK[name]
+        self.emit(dispatcher, RequestArrived(request, name, self.now + 25_000_000))
+
+    def emit(self, dispatcher: int, event: Event) -> None:
+        for command in self.schedulers[dispatcher].step(self.now, [event]):
+            if isinstance(command, SetTimer):
+                due = self.now + max(ROUND_INTERVAL, command.delay)
+                self.emit_at(due, dispatcher, TimerFired(command.timer_id))
+            elif isinstance(command, StartAttempt):
+                self.at(self.now + LATENCY, partial(self.receive, dispatcher, command))
+            elif isinstance(command, CancelAttempt):
+                self.at(self.now + 2 * LATENCY, partial(self.cancel, dispatcher, command))
+
+    def receive(self, dispatcher: int, command: StartAttempt) -> None:
+        worker, request = command.worker, int(command.request_id)
+        self.received[worker].append((self.now, self.work[request]))
+        if self.running[worker] < SLOTS:
+            self.begin(dispatcher, request, worker)
         else:
-            self.queue[name].append((one, number))
-
-    def begin(self, one: int, number: int, name: str) -> None:
-        self.running[name] += 1
-        place = len(self.fleet[one].requests.open[number].attempts) - 1
-        self.tell(one, AttemptStarted(number, place))
-        took = int(self.work[number] / self.speed[name] / self.warmth(name))
-        self.at(self.now + took, self.end, one, number, place, name)
-
-    def end(self, one: int, number: int, place: int, name: str) -> None:
-        self.running[name] -= 1
-        if number in self.fleet[one].requests.open:
-            self.tell(one, AttemptEnded(number, place, AttemptOutcome.DONE, True))
-        while self.queue[name] and self.running[name] < SLOTS:
-            other, waiting = self.queue[name].pop(0)
-            if waiting in self.fleet[other].requests.open:
-                self.begin(other, waiting, name)
-
-    def give_up(self, one: int, order: CancelAttempt) -> None:
-        for queue in self.queue.values():
-            if (waiting := (one, int(order.request_id))) in queue:
+            self.queues[worker].append((dispatcher, request))
+
+    def begin(self, dispatcher: int, request: int, worker: str) -> None:
+        self.running[worker] += 1
+        attempt = len(self.schedulers[dispatcher].requests.open[request].attempts) - 1
+        self.emit(dispatcher, AttemptStarted(request, attempt))
+        run_time = int(self.work[request] / self.speeds[worker] / self.factor(worker, self.now))
+        self.at(self.now + run_time, partial(self.end, dispatcher, request, attempt, worker))
+
+    def end(self, dispatcher: int, request: int, attempt: int, worker: str) -> None:
+        self.running[worker] -= 1
+        if request in self.schedulers[dispatcher].requests.open:
+            self.emit(dispatcher, AttemptEnded(request, attempt, AttemptOutcome.DONE, True))
+        while self.queues[worker] and self.running[worker] < SLOTS:
+            waiting_at, waiting = self.queues[worker].pop(0)
+            if waiting in self.schedulers[waiting_at].requests.open:
+                self.begin(waiting_at, waiting, worker)
+
+    def cancel(self, dispatcher: int, command: CancelAttempt) -> None:
+        waiting = (dispatcher, int(command.request_id))
+        for queue in self.queues.values():
+            if waiting in queue:
                 queue.remove(waiting)
-                self.tell(one, AttemptEnded(order.request_id, order.attempt, AttemptOutcome.CANCELLED, False))
+                ended = AttemptEnded(command.request_id, command.attempt, AttemptOutcome.CANCELLED, False)
+                self.emit(dispatcher, ended)
                 return
 
 
-@pytest.mark.parametrize("warm, cold", [(6, 6), (0, 12)])
-def test_thirty_together_stay_under_what_fells_a_cold_worker(warm: int, cold: int) -> None:
-    worst = [Burst(seed, 30, warm, cold, SLOW_START_MARGIN).run() for seed in range(8)]
+@pytest.mark.parametrize(("warm", "warming"), [(6, 6), (0, 12)])
+def test_thirty_dispatchers_together_do_not_overload_a_warming_worker(warm: int, warming: int) -> None:
+    """Thirty dispatchers sent a worker that had just started more than it could take, and it fell over.
+
+    Each kept to its share of the budget. But shares were planned up to the limit itself, by the usual
+    request, and a few long requests that met at a slow worker came on top: in 11 of 600 such bursts one was
+    overloaded. What all dispatchers plan has to leave room for draws and sizes that fall together, so that no
+    warming worker receives more in any window than the platform allows for chance; and it has to use the
+    budget, too.
+    """
+    worst = [Burst(seed, 30, warm, warming, SLOW_START_MARGIN).run() for seed in range(8)]
     assert 0.3 < max(worst) <= 1.0, worst
