--- a/locktide/cli/serve.py
+++ b/locktide/cli/serve.py
@@ -36,7 +36,7 @@
 
         async def accord(node: Dispatcher) -> AttachedService:
             try:
-                return await join(node, told, log)
+                return await join(node.bridge, told, log)
             except OSError as trouble:
                 raise Refused(f"accord.listen: {trouble}") from None
 
--- a/locktide/cluster/dispatcher_link.py
+++ b/locktide/cluster/dispatcher_link.py
@@ -32,7 +32,7 @@
     def clock(self) -> Clock:
         """The clock of the dispatcher's decisions."""
 
-    def enqueue_event(self, event: object, /) -> None:
+    def enqueue_event(self, event: QuotaSharesUpdated, /) -> None:
         """Hand an event to the scheduler."""
 
 
--- a/locktide/dispatcher/background_tasks.py
+++ b/locktide/dispatcher/background_tasks.py
@@ -11,20 +11,19 @@
     """Owns the running tasks of attempts and cancellations, each until it is done."""
 
     def __init__(self) -> None:
-        self._tasks: dict[
-            asyncio.Task[None], bool
-        ] = {}  # in order of their start; whether for a background job
+        # Whether each task is for a background request, in order of their start.
+        self._tasks: dict[asyncio.Task[None], bool] = {}
 
     def __len__(self) -> int:
         return len(self._tasks)
 
     def start(self, work: Coroutine[Any, Any, None], background: bool = False) -> asyncio.Task[None]:
-        """Run `work` in a task; a shutdown does not wait for the task of a background job."""
+        """Run `work` in a task; a shutdown does not wait for the task of a background request."""
         task: asyncio.Task[None] = asyncio.create_task(work)
         self._tasks[task] = background
         task.add_done_callback(self._tasks.pop)
         return task
 
     def has_foreground(self) -> bool:
-        """Whether a task runs for which a shutdown has to wait."""
+        """Return whether a task runs for which a shutdown has to wait."""
         return not all(self._tasks.values())
--- a/locktide/dispatcher/callbacks.py
+++ b/locktide/dispatcher/callbacks.py
@@ -6,17 +6,17 @@
 
 from locktide.dispatcher.cancellation import CancellationService
 from locktide.dispatcher.completion import AttemptCompletion
-from locktide.dispatcher.records import AttemptStage
+from locktide.dispatcher.records import AttemptStage, OpenAttempt, OpenRequest
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.dispatcher.scheduler_bridge import SchedulerBridge
 from locktide.protocol import names
 from locktide.protocol.messages import Callback
 from locktide.scheduler.events import AttemptProgressed, AttemptStarted
 from locktide.scheduler.types import AttemptOutcome
-from locktide.transport.client_connection import Response
+from locktide.transport.request_handler import Response
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(eq=False, slots=True, kw_only=True)
 class CallbackHandler:
     """Applies the workers' callbacks to the open requests."""
 
@@ -38,12 +38,19 @@
             self.bridge.enqueue_event(
                 AttemptProgressed(message.request_id, attempt.number, message.fraction_done)
             )
-        elif message.outcome == AttemptOutcome.DONE:
+        elif message.outcome is AttemptOutcome.DONE:
             self.registry.respond(message.request_id, Response(200, message.result))
             self.completion.finish(request, attempt, message.outcome)
         elif message.outcome is not None:
-            if request.accepted_there_before(attempt):
-                # Guards against a repeated callback about the earlier attempt there: this one may run.
-                self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.CONNECTION_CLOSED)
-            else:
-                self.completion.finish(request, attempt, message.outcome)
+            self._finish_unsuccessful(request, attempt, message.outcome)
+
+    def _finish_unsuccessful(
+        self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome
+    ) -> None:
+        # A worker repeats a callback whose 204 was lost. One about an earlier attempt there, taken for the
+        # end of this one, would allow a retry while this one runs
+        # (test_a_word_told_again_of_an_earlier_dispatch_does_not_end_the_later_one_there).
+        if request.accepted_there_before(attempt):
+            self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.CONNECTION_CLOSED)
+        else:
+            self.completion.finish(request, attempt, outcome)
--- /dev/null
+++ b/locktide/dispatcher/cancellation_delivery.py
@@ -0,0 +1,104 @@
+"""Delivering a cancellation to a worker, for as long as anything depends on it."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from locktide.dispatcher.endpoint_directory import EndpointDirectory
+from locktide.dispatcher.records import AttemptStage, OpenAttempt, OpenRequest
+from locktide.dispatcher.settings import DispatcherSettings
+from locktide.protocol import worker_messages
+from locktide.protocol.client_connection import UpstreamRequest, UpstreamResponse
+from locktide.transport.interfaces import RequestSender
+from locktide.transport.log import Log
+from locktide.transport.units import MICROSECONDS_PER_SECOND
+
+#: Tries that follow one another without a delay. Idle connections to a worker break together: the second try
+#: is sent on a new connection, and the third is for a new one that breaks by itself.
+IMMEDIATE_TRIES = 3
+#: How long a try on a new connection may take, in connect timeouts: one to connect, one for the reply.
+NEW_CONNECTION_TIMEOUTS = 2
+#: Delay between later tries, in connect timeouts. A try at an unreachable worker takes one of them: a
+#: descriptor is in use a fifth of the time, and a worker that is back is notified within about a second.
+RETRY_DELAY_TIMEOUTS = 4
+
+
+@dataclass(slots=True)
+class _Try:
+    """One try to deliver a cancellation."""
+
+    message: UpstreamRequest
+    was_sent: bool = False
+
+    def build(self) -> UpstreamRequest:
+        """Return the message, right before its first byte."""
+        return self.message
+
+    def note_sent(self) -> None:
+        """Record that the kernel has the last byte."""
+        self.was_sent = True
+
+
+@dataclass(eq=False, slots=True, kw_only=True)
+class CancellationDelivery:
+    """Sends cancellations to workers, and repeats them until each is delivered or obsolete."""
+
+    upstream: RequestSender
+    endpoints: EndpointDirectory
+    settings: DispatcherSettings
+    log: Log
+
+    async def deliver(self, request: OpenRequest, attempt: OpenAttempt) -> bool:
+        """Deliver the cancellation of an attempt; return whether the worker is notified.
+
+        A worker is notified once it has replied, or has the whole message on a connection that came up for
+        it: it is reachable then, and reads that before it works on. An idle connection may lead to a process
+        that is gone, and one that is refused or does not come up has carried nothing. Retries that relied on
+        such silence were second copies. Once the cancellation is obsolete, the immediate tries are the last.
+        """
+        connect_timeout = self.settings.connect_within / MICROSECONDS_PER_SECOND
+        tries = 0
+        while True:
+            if await self._try_to_deliver(request.message.id, attempt.worker, connect_timeout, tries > 0):
+                return True
+            tries += 1
+            if tries < IMMEDIATE_TRIES:
+                continue
+            if self._is_obsolete(request, attempt):
+                self._log_undelivered(attempt.worker)
+                return False
+            await asyncio.sleep(RETRY_DELAY_TIMEOUTS * connect_timeout)
+
+    async def _try_to_deliver(
+        self, request_id: str, worker: str, connect_timeout: float, fresh: bool
+    ) -> bool:
+        """Send the message once, on a new connection where `fresh`; return whether the worker is notified."""
+        delivery = _Try(worker_messages.cancel_request(request_id))
+        timeout = NEW_CONNECTION_TIMEOUTS * connect_timeout if fresh else connect_timeout
+        address = self.endpoints.addresses.get(worker)
+        if address is None:
+            return False
+        try:
+            # A worker that is silent must not hold up the other tries.
+            async with asyncio.timeout(timeout):
+                reply = await self.upstream.send(
+                    worker, address, delivery.build, delivery.note_sent, fresh=fresh
+                )
+        except TimeoutError:
+            return delivery.was_sent and fresh
+        return isinstance(reply, UpstreamResponse)
+
+    @staticmethod
+    def _is_obsolete(request: OpenRequest, attempt: OpenAttempt) -> bool:
+        """Return whether nothing depends on the cancellation any more.
+
+        Before the 202 the closed connection has cancelled the attempt; the message is for a 202 on its way.
+        """
+        is_accepted = attempt.stage is AttemptStage.ACCEPTED
+        return not is_accepted or not request.is_open or attempt.lease_expired
+
+    def _log_undelivered(self, worker: str) -> None:
+        self.log.emit(
+            f"worker {worker}: no answer to a cancellation", event="cancellation_unanswered", worker=worker
+        )
--- a/locktide/dispatcher/completion.py
+++ b/locktide/dispatcher/completion.py
@@ -12,7 +12,7 @@
 from locktide.scheduler.types import AttemptOutcome
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(eq=False, slots=True, kw_only=True)
 class AttemptCompletion:
     """Ends attempts and reports their outcomes to the job store and the scheduler."""
 
@@ -25,7 +25,6 @@
         if not attempt.end(outcome):
             return
         self.leases.end(request, attempt)
-        self.bridge.enqueue_event(
-            AttemptEnded(request.message.id, attempt.number, outcome, final=not request.is_open)
-        )
+        ended = AttemptEnded(request.message.id, attempt.number, outcome, final=not request.is_open)
+        self.bridge.enqueue_event(ended)
         self.registry.release_settled(request)
--- a/locktide/dispatcher/dispatcher.py
+++ b/locktide/dispatcher/dispatcher.py
@@ -1,4 +1,4 @@
-"""One dispatcher, assembled: its parts, and what other packages use of them."""
+"""One dispatcher, assembled from its parts, and the request handler of its listener."""
 
 from __future__ import annotations
 
@@ -10,41 +10,58 @@
 from locktide.dispatcher.background_tasks import BackgroundTasks
 from locktide.dispatcher.callbacks import CallbackHandler
 from locktide.dispatcher.cancellation import CancellationService
+from locktide.dispatcher.cancellation_delivery import CancellationDelivery
+from locktide.dispatcher.cleanup import PeriodicCleanup
 from locktide.dispatcher.clock import Clock
+from locktide.dispatcher.command_executor import CommandExecutor, RequestCommandExecutor
 from locktide.dispatcher.completion import AttemptCompletion
 from locktide.dispatcher.endpoint_directory import EndpointDirectory
 from locktide.dispatcher.endpoint_follower import EndpointFollower
+from locktide.dispatcher.endpoint_list import EndpointListHandler
+from locktide.dispatcher.failure_responses import FailureResponder
+from locktide.dispatcher.job_host import JobHost
+from locktide.dispatcher.job_sender import JobSender
 from locktide.dispatcher.job_store import AttemptLeases, JobStore
 from locktide.dispatcher.lifecycle import Lifecycle
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.dispatcher.reload import ConfigReloader
+from locktide.dispatcher.request_timeouts import RequestTimeouts
 from locktide.dispatcher.requests import RequestService
 from locktide.dispatcher.runtime import Runtime, ServingState
-from locktide.dispatcher.scheduler_bridge import CommandHandler, SchedulerBridge
-from locktide.dispatcher.scheduler_log import emit_log_event
-from locktide.dispatcher.settings import DispatcherSettings, with_socket_settings
+from locktide.dispatcher.scheduler_bridge import SchedulerBridge
+from locktide.dispatcher.settings import DispatcherSettings, SettingsUpdater, with_socket_settings
+from locktide.dispatcher.shutdown import GracefulShutdown
+from locktide.dispatcher.startup import Startup
+from locktide.dispatcher.worker_replies import WorkerReplyHandler
 from locktide.protocol.discovery import DiscoveryUpdate
 from locktide.protocol.messages import Callback, JobQuery, SubmitRequest
-from locktide.scheduler import commands
-from locktide.scheduler.events import EndpointListUpdate, RecoveredAttempt
 from locktide.scheduler.scheduler import Scheduler
-from locktide.scheduler.types import ListUpdateKind
-from locktide.transport.client_connection import RequestHandler, Response
 from locktide.transport.descriptor_budget import split_descriptors
 from locktide.transport.listener import Listener
 from locktide.transport.log import Log
+from locktide.transport.request_handler import RequestHandler, Response
 from locktide.transport.system import RealSystem, System
 from locktide.transport.upstream_pool import UpstreamPool
 
-# Bytes that the process takes with hundreds of connections open and nothing stored. Half of what is left is
-# for messages on their way in or waiting; the other half is for their copies, in parts and on their way out.
+#: Bytes that the process takes with hundreds of connections open and no message stored.
 BASE_MEMORY = 22 << 20
+#: Messages that are half received or wait may take one part in so many of the rest: their copies, in pieces
+#: and on their way out, take the other part.
+STORED_MEMORY_PART = 2
 
 
 class Dispatcher:
-    """One dispatcher process: assembles the parts, and is the request handler of its listener.
+    """One dispatcher process.
 
-    `upstream` stands in for the connections to workers; by default they are opened on `system`.
+    Attributes:
+        loop: The event loop.
+        clock: The clock of events and commands.
+        settings: The settings in force.
+        registry: The open requests.
+        endpoints: The workers by the endpoint list.
+        tasks: The running attempts and cancellations.
+        bridge: Takes events for the scheduler; its observers see each event and command.
+        job_host: What durable jobs use of the dispatcher.
     """
 
     def __init__(
@@ -55,141 +72,217 @@
         system: System | None = None,
         upstream: UpstreamPool | None = None,
     ) -> None:
+        """Assemble a dispatcher that does not serve yet.
+
+        Args:
+            start: The settings.
+            known: The cached endpoint list.
+            log: The log.
+            system: The machine; the operating system by default.
+            upstream: The connections to workers; a pool of its own by default.
+        """
         system = system or RealSystem()
         start = with_socket_settings(start)
+        self.log = log
         self.loop = asyncio.get_running_loop()
         self.clock = Clock(self.loop, system.wall)
-        self.log = log
+        self.runtime = Runtime(loop=self.loop, clock=self.clock, log=log)
+        self.state = ServingState()
         self.scheduler = Scheduler(start.seed, start.scheduler_config)
-        to_clients, to_workers = split_descriptors(start.descriptors)
+        self._open_transport(start, system, upstream)
+        self._apply_settings(start)
+        self._assemble_attempt_endings()
+        self._assemble_requests()
+        self._assemble_commands()
+        self._assemble_endpoint_list(known)
+        self._assemble_process(start.listen)
+        self.bridge.connect(
+            CommandExecutor(
+                request_commands=self.request_commands,
+                bridge=self.bridge,
+                upstream=self.upstream,
+                follower=self.follower,
+                log=log,
+            ).execute
+        )
+        self.endpoint_list.apply_cached(known)
+
+    def _open_transport(self, start: Start, system: System, upstream: UpstreamPool | None) -> None:
+        """Create the listener and the pool of connections to workers."""
+        client_descriptors, worker_descriptors = split_descriptors(start.descriptors)
         if upstream is None:
-            upstream = UpstreamPool(to_workers, start.connect_within, start.idle_close)
+            upstream = UpstreamPool(worker_descriptors, start.connect_within, start.idle_close)
         self.upstream = upstream
-        most_stored = (start.memory - BASE_MEMORY) // 2
-        self.listener = Listener(to_clients, {}, set(), most_stored, self, log, system)
+        self.listener = Listener(
+            descriptors=client_descriptors,
+            timeouts={},
+            keyed_classes=set(),
+            max_stored_bytes=(start.memory - BASE_MEMORY) // STORED_MEMORY_PART,
+            request_handler=self,
+            log=self.log,
+            system=system,
+        )
+
+    def _apply_settings(self, start: Start) -> None:
+        """Put the settings of the start in force."""
         self.settings = DispatcherSettings(
-            start.discovery, start.scheduler_config.endpoint_list, start.connect_within
+            discovery=start.discovery,
+            endpoint_list=start.scheduler_config.endpoint_list,
+            connect_within=start.connect_within,
         )
-        self.settings.apply(start, self.upstream, self.listener)
+        self.updater = SettingsUpdater(settings=self.settings, upstream=self.upstream, listener=self.listener)
+        self.updater.apply(start)
+
+    def _assemble_attempt_endings(self) -> None:
+        """Create what keeps the requests and ends their attempts."""
         self.endpoints = EndpointDirectory()
-        self.state = ServingState()
         self.tasks = BackgroundTasks()
         self.leases = AttemptLeases()
-        runtime = Runtime(self.loop, self.clock, log)
-        self._assemble_requests(runtime)
-        self._assemble_process(runtime, start.listen, known.version if known.entries else None)
-        # What attached services read of the parts.
-        self.observers = self.bridge.observers
-        self.open_requests = self.registry.open_requests
-        self.answered_ids = self.registry.answered_ids
-        self.bridge.register_handlers(self._command_handlers())
-        self.endpoints.apply(known)
-        self.enqueue_event(EndpointListUpdate(ListUpdateKind.CACHED, known.entries))
-
-    def _assemble_requests(self, runtime: Runtime) -> None:
-        """Build what keeps and carries requests and their attempts."""
-        state, tasks, leases = self.state, self.tasks, self.leases
-        registry = self.registry = RequestRegistry(self.loop, self.settings)
-        bridge = self.bridge = SchedulerBridge(self.scheduler, registry, runtime, state)
-        completion = AttemptCompletion(registry, bridge, leases)
-        cancellations = self.cancellations = CancellationService(
-            registry, completion, self.endpoints, self.upstream, tasks, self.settings, self.log
+        self.registry = RequestRegistry(self.loop, self.settings)
+        self.bridge = SchedulerBridge(self.scheduler, self.runtime)
+        self.completion = AttemptCompletion(registry=self.registry, bridge=self.bridge, leases=self.leases)
+        self.cancellations = CancellationService(
+            registry=self.registry,
+            completion=self.completion,
+            delivery=CancellationDelivery(
+                upstream=self.upstream, endpoints=self.endpoints, settings=self.settings, log=self.log
+            ),
+            tasks=self.tasks,
+        )
+
+    def _assemble_requests(self) -> None:
+        """Create what accepts requests, callbacks and the jobs of an earlier process."""
+        self.callbacks = CallbackHandler(
+            registry=self.registry,
+            bridge=self.bridge,
+            completion=self.completion,
+            cancellations=self.cancellations,
+        )
+        self.timeouts = RequestTimeouts(
+            registry=self.registry,
+            bridge=self.bridge,
+            completion=self.completion,
+            cancellations=self.cancellations,
+            runtime=self.runtime,
+        )
+        self.requests = RequestService(
+            registry=self.registry,
+            bridge=self.bridge,
+            timeouts=self.timeouts,
+            tasks=self.tasks,
+            runtime=self.runtime,
+            state=self.state,
+        )
+        self.job_host = JobHost(
+            clock=self.clock,
+            registry=self.registry,
+            requests=self.requests,
+            cancellations=self.cancellations,
+            endpoints=self.endpoints,
+        )
+
+    def _assemble_commands(self) -> None:
+        """Create what executes the scheduler's commands about requests."""
+        self.failures = FailureResponder(
+            registry=self.registry, cancellations=self.cancellations, log=self.log
         )
         self.attempts = AttemptRunner(
-            registry, bridge, completion, cancellations, leases, self.endpoints, self.upstream, tasks, runtime
+            registry=self.registry,
+            tasks=self.tasks,
+            leases=self.leases,
+            sender=JobSender(
+                upstream=self.upstream, endpoints=self.endpoints, bridge=self.bridge, runtime=self.runtime
+            ),
+            replies=WorkerReplyHandler(
+                registry=self.registry,
+                completion=self.completion,
+                cancellations=self.cancellations,
+                log=self.log,
+            ),
+            log=self.log,
+        )
+        self.request_commands = RequestCommandExecutor(
+            registry=self.registry,
+            state=self.state,
+            attempts=self.attempts,
+            cancellations=self.cancellations,
+            failures=self.failures,
         )
-        self.callbacks = CallbackHandler(registry, bridge, completion, cancellations)
-        self.requests = RequestService(registry, bridge, completion, cancellations, tasks, runtime, state)
 
-    def _assemble_process(
-        self, runtime: Runtime, listen_address: Address, cached_version: int | None
-    ) -> None:
-        """Build what follows the endpoint list, reloads, starts and shuts down."""
-        registry, bridge, settings = self.registry, self.bridge, self.settings
+    def _assemble_endpoint_list(self, known: DiscoveryUpdate) -> None:
+        """Create what follows and applies the endpoint list."""
+        self.endpoint_list = EndpointListHandler(
+            endpoints=self.endpoints,
+            upstream=self.upstream,
+            cancellations=self.cancellations,
+            bridge=self.bridge,
+        )
         self.follower = EndpointFollower(
-            self.endpoints,
-            registry,
-            bridge,
-            self.cancellations,
-            self.upstream,
-            settings,
-            self.log,
-            cached_version,
+            settings=self.settings,
+            endpoint_list=self.endpoint_list,
+            bridge=self.bridge,
+            log=self.log,
+            cached_version=known.version if known.entries else None,
         )
+
+    def _assemble_process(self, listen_address: Address) -> None:
+        """Create what starts, reloads and shuts down."""
         self.reloader = ConfigReloader(
-            settings, self.upstream, self.listener, bridge, registry, self.follower, self.log
+            updater=self.updater,
+            bridge=self.bridge,
+            registry=self.registry,
+            follower=self.follower,
+            log=self.log,
+        )
+        self.startup = Startup(
+            follower=self.follower,
+            endpoints=self.endpoints,
+            listener=self.listener,
+            listen_address=listen_address,
+            state=self.state,
+            log=self.log,
+        )
+        self.shutdown = GracefulShutdown(
+            listener=self.listener,
+            registry=self.registry,
+            tasks=self.tasks,
+            settings=self.settings,
+            state=self.state,
+            runtime=self.runtime,
         )
         self.lifecycle = Lifecycle(
-            self.listener,
-            self.upstream,
-            registry,
-            self.tasks,
-            self.follower,
-            settings,
-            self.state,
-            runtime,
-            listen_address,
-        )
-
-    def _command_handlers(self) -> dict[type, CommandHandler]:
-        return {
-            commands.StartAttempt: self.attempts.start_attempt,
-            commands.CancelAttempt: self.cancellations.cancel_attempt,
-            commands.RejectRequest: self.requests.reject,
-            commands.FailRequest: self.requests.fail,
-            commands.ReportInternalError: self.requests.fail_after_internal_error,
-            commands.CloseIdleConnections: lambda command: self.upstream.close_idle(command.worker),
-            commands.WriteLog: lambda command: emit_log_event(self.log, command.event),
-            # Where the list is not polled, the watch is always on.
-            commands.WatchEndpoints: lambda _: self.follower.request_watch(),
-            commands.FetchEndpoints: lambda _: None,
-        }
+            startup=self.startup,
+            cleanup=PeriodicCleanup(upstream=self.upstream, registry=self.registry),
+            shutdown=self.shutdown,
+            follower=self.follower,
+            listener=self.listener,
+            log=self.log,
+        )
 
     # --- the process
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until `stop`, finish what has been taken, and return."""
+        """Serve until `stop`, finish the requests that were accepted, and return."""
         await self.lifecycle.run(stop)
 
     def reload(self, start: Start) -> None:
         """Put new settings in force; see `ConfigReloader.reload`."""
         self.reloader.reload(start)
 
-    # --- what attached services use
-
     def attach_job_store(self, job_store: JobStore, request_handler: RequestHandler) -> None:
-        """From now on durable jobs are kept by `job_store`, and requests come to `request_handler` first."""
+        """Keep durable jobs in `job_store` from now on, and pass messages to `request_handler` first."""
         self.leases.job_store = job_store
         self.listener.request_handler = request_handler
         self.listener.keeps_jobs = True
 
-    def enqueue_event(self, event: object) -> None:
-        """Queue an event for the scheduler; see `SchedulerBridge.enqueue_event`."""
-        self.bridge.enqueue_event(event)
-
-    def recover(
-        self,
-        message: SubmitRequest,
-        arrived_at: int,
-        deadline: int,
-        attempts: list[RecoveredAttempt],
-        fences: list[int],
-    ) -> asyncio.Future[Response]:
-        """Take up a job of an earlier process; see `RequestService.recover`."""
-        return self.requests.recover(message, arrived_at, deadline, attempts, fences)
-
-    def expire_lease(self, request_id: str, fence: int) -> None:
-        """Cancel the attempt whose lease has run out; see `CancellationService.expire_lease`."""
-        self.cancellations.expire_lease(request_id, fence)
-
     # --- the listener's request handler
 
     def is_ready(self) -> bool:
-        """Whether the process serves."""
+        """Return whether the process serves."""
         return self.state.is_serving
 
     def submit(self, message: SubmitRequest) -> asyncio.Future[Response] | None:
-        """Take a request; its response to come, or None where its id is known already."""
+        """Accept a request; return its response to come, or None where its id is known already."""
         return self.requests.submit(message)
 
     def client_disconnected(self, message: SubmitRequest) -> None:
--- a/locktide/dispatcher/endpoint_directory.py
+++ b/locktide/dispatcher/endpoint_directory.py
@@ -12,14 +12,19 @@
 
 
 class EndpointDirectory:
-    """The state and the address of each worker, as the scheduler is told them."""
+    """The state and the address of each worker, as the scheduler knows them.
+
+    Attributes:
+        entries: The entry of each worker; one that has left the list stays, as gone.
+        addresses: The address of each worker.
+    """
 
     def __init__(self) -> None:
         self.entries: dict[str, EndpointEntry] = {}
         self.addresses: dict[str, Address] = {}
 
     def apply(self, update: DiscoveryUpdate) -> Iterable[str]:
-        """Apply an update of the list; the workers to which idle connections are of no more use.
+        """Apply an update of the list; return the workers that have moved, restarted or gone.
 
         Adds to `update` what was known of entries that it names but that could not be read.
         """
@@ -34,24 +39,25 @@
         return stale
 
     def accepts_requests(self, worker: str) -> bool:
-        """Whether attempts may be sent to the worker."""
+        """Return whether attempts may be sent to the worker."""
         entry = self.entries.get(worker)
         return entry is not None and entry.state == EndpointState.READY
 
     def _keep_unreadable(self, update: DiscoveryUpdate) -> None:
         """Treat a known worker as draining where its entry cannot be read.
 
-        Guards against an entry that cannot be read: it may say that the worker drains, so the worker gets
-        nothing new, while the rest of the list counts as ever.
+        The entry may say that the worker is draining: kept as ready, the worker would get new requests in its
+        drain. The rest of the list counts as usual.
         """
         for worker in update.unreadable:
-            if known := self.entries.get(worker):
+            known = self.entries.get(worker)
+            if known is not None:
                 state = EndpointState.DRAINING if known.state == EndpointState.READY else known.state
                 update.entries.append(replace(known, state=state))
                 update.addresses[worker] = self.addresses[worker]
 
     def _remove_absent(self, snapshot: DiscoveryUpdate) -> list[str]:
-        """Mark the workers that are not in the snapshot as gone; their names."""
+        """Mark the workers that are not in the snapshot as gone; return their names."""
         listed = {entry.worker for entry in snapshot.entries}
         absent = [worker for worker in self.entries if worker not in listed]
         for worker in absent:
@@ -59,7 +65,7 @@
         return absent
 
     def _is_replaced(self, entry: EndpointEntry, address: Address) -> bool:
-        """Whether a known worker has moved, started anew or gone."""
+        """Return whether a known worker has moved, restarted or gone."""
         known = self.entries.get(entry.worker)
         if known is None:
             return False
--- a/locktide/dispatcher/endpoint_follower.py
+++ b/locktide/dispatcher/endpoint_follower.py
@@ -1,4 +1,4 @@
-"""Following the endpoint list, and what its changes mean for the open requests."""
+"""Following the endpoint list at discovery, all the time or when the scheduler requests it."""
 
 from __future__ import annotations
 
@@ -8,114 +8,107 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from locktide.dispatcher.cancellation import CancellationService
-from locktide.dispatcher.endpoint_directory import EndpointDirectory
-from locktide.dispatcher.registry import RequestRegistry
+from locktide.dispatcher.endpoint_list import EndpointListHandler
 from locktide.dispatcher.scheduler_bridge import SchedulerBridge
 from locktide.dispatcher.settings import DispatcherSettings
-from locktide.protocol.discovery import DiscoveryUpdate
+from locktide.scheduler.config import EndpointListConfig
 from locktide.scheduler.events import EndpointListUpdate
-from locktide.scheduler.types import AttemptOutcome, ListUpdateKind
+from locktide.scheduler.types import ListUpdateKind
 from locktide.transport.endpoint_watch import EndpointWatch
 from locktide.transport.log import Log
-from locktide.transport.upstream_pool import UpstreamPool
+from locktide.transport.units import MICROSECONDS_PER_SECOND
 
+#: Seconds that a start waits for the list: an agent on the same machine responds within milliseconds.
+FIRST_LIST_TIMEOUT = 0.5
+#: A polled call may wait for its turn for this part of the time within which a change has to be known. Given
+#: up sooner, it was work for nothing; one without a response by then was not received.
+POLL_WAIT_PART = 0.5
 
-@dataclass(eq=False, slots=True)
+
+@dataclass(eq=False, slots=True, kw_only=True)
 class EndpointFollower:
-    """Owns the watch of the endpoint list and applies what it brings."""
+    """Owns the watch of the endpoint list.
+
+    Attributes:
+        cached_version: Version of the cached list; None where there is none.
+        watch_task: Runs the watch in force.
+        watch_requested: Set while the scheduler wants the list watched and no call is under way for that.
+    """
 
-    endpoints: EndpointDirectory
-    registry: RequestRegistry
-    bridge: SchedulerBridge
-    cancellations: CancellationService
-    upstream: UpstreamPool
     settings: DispatcherSettings
+    endpoint_list: EndpointListHandler
+    bridge: SchedulerBridge
     log: Log
-    cached_version: int | None  # of the list that was remembered at the start
+    cached_version: int | None
     watch_task: asyncio.Task[None] | None = None
-    # Set once a list has come, not only what was remembered of it.
-    list_received: asyncio.Event = field(default_factory=asyncio.Event)
-    # Set while the scheduler wants the list watched and no call is under way for that.
     watch_requested: asyncio.Event = field(default_factory=asyncio.Event)
 
     def start(self) -> None:
-        """Follow the list from now on; where calls cost others work, once the scheduler asks for it."""
+        """Follow the list from now on; where calls cost others work, once the scheduler requests it."""
         self.watch(self.follow_when_requested() if self.settings.endpoint_list.polled else self.follow())
 
     def restart(self) -> None:
         """Follow the list at the address in force, from the whole list on: each has its own versions."""
         self.watch(self.follow())
 
+    def stop(self) -> None:
+        """Cancel the watch."""
+        if self.watch_task is not None:
+            self.watch_task.cancel()
+
     async def close(self) -> None:
         """Await the end of the watch, after `stop`."""
         if self.watch_task is not None and not self.watch_task.done():
             with suppress(asyncio.CancelledError):
                 await self.watch_task
 
-    def stop(self) -> None:
-        """Cancel the watch."""
-        if self.watch_task is not None:
-            self.watch_task.cancel()
-
     def watch(self, following: Coroutine[Any, Any, None]) -> None:
         """Run `following` in place of the watch so far."""
         self.stop()
         self.watch_task = asyncio.create_task(following)
 
     def request_watch(self) -> None:
-        """Let a watch that waits for the scheduler's word make its next call."""
+        """Let a watch that waits for the scheduler's command make its next call."""
         self.watch_requested.set()
 
+    async def wait_for_first_list(self) -> None:
+        """Wait for the first list, for a limited time; where the list is polled, do not wait.
+
+        What the agent has counts as notified from the first moment of the process on. A silent agent does not
+        hold up the start for long: the cached list is all there is then.
+        """
+        if self.settings.endpoint_list.polled:
+            return
+        with suppress(TimeoutError):
+            await asyncio.wait_for(self.endpoint_list.received.wait(), FIRST_LIST_TIMEOUT)
+
     async def follow(self, version: int | None = None) -> None:
-        """Follow the list at the address in force, from that version on, or from the whole of it."""
+        """Follow the list at the address in force, from that version on, or from the whole list."""
         config = self.settings.endpoint_list
-        if not config.polled:
-            await EndpointWatch(self.settings.discovery, self.apply_endpoint_list, self.log, version).run()
-        # A call waits its turn there. Given up sooner than it would be it has been work for nothing; but one
-        # that is not answered in half of the time in which we have to know was not heard.
-        patience = min(config.poll_within, config.notified_within or config.poll_within) / 2e6
-        watch = EndpointWatch(
-            self.settings.discovery,
-            self.apply_endpoint_list,
-            self.log,
-            version,
-            patience,
-            self.retry_when_requested,
-        )
-        await watch.run()
+        await (self._polling_watch(config, version) if config.polled else self._watch(version)).run()
 
     async def follow_when_requested(self) -> None:
-        """Follow the list once the scheduler asks for it, from the version that was remembered."""
+        """Follow the list once the scheduler requests it, from the cached version on."""
         await self.watch_requested.wait()
         await self.follow(self.cached_version)
 
-    async def retry_when_requested(self, silent: bool) -> None:
-        """Report a call that failed, and wait until the scheduler asks for the next."""
+    async def retry_when_requested(self, timed_out: bool) -> None:
+        """Report a call that failed, and wait until the scheduler requests the next."""
         self.watch_requested.clear()
-        kind = ListUpdateKind.FETCH_TIMED_OUT if silent else ListUpdateKind.FETCH_FAILED
+        kind = ListUpdateKind.FETCH_TIMED_OUT if timed_out else ListUpdateKind.FETCH_FAILED
         self.bridge.enqueue_event(EndpointListUpdate(kind, []))
         await self.watch_requested.wait()
 
-    def apply_endpoint_list(self, update: DiscoveryUpdate) -> None:
-        """Apply an update of the list, and pass it to the scheduler."""
-        for worker in self.endpoints.apply(update):
-            self.upstream.close_idle(worker)
-            self._cancel_lost_attempts(worker)
-        kind = ListUpdateKind.SNAPSHOT if update.is_snapshot else ListUpdateKind.DELTA
-        self.bridge.enqueue_event(EndpointListUpdate(kind, update.entries))
-        self.list_received.set()
-
-    def _cancel_lost_attempts(self, worker: str) -> None:
-        """Cancel what was sent to a worker before its process last started: nobody has it any more.
-
-        Guards against waiting to the deadline for a job, and keeping its slots taken, where the callback of
-        its loss does not come; and against taking that for its end, which no one but the worker can tell:
-        what goes elsewhere before the new process has answered a cancellation is a second copy.
-        """
-        started_at = self.endpoints.entries[worker].started_at
-        for request in list(self.registry.open_requests.values()):
-            for attempt in request.unfinished_attempts():
-                is_there = attempt.worker == worker and attempt.possibly_running
-                if is_there and attempt.sent_at < started_at:
-                    self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.CONNECTION_CLOSED)
+    def _watch(self, version: int | None) -> EndpointWatch:
+        return EndpointWatch(self.settings.discovery, self.endpoint_list.apply, self.log, version)
+
+    def _polling_watch(self, config: EndpointListConfig, version: int | None) -> EndpointWatch:
+        known_within = min(config.poll_within, config.notified_within or config.poll_within)
+        return EndpointWatch(
+            self.settings.discovery,
+            self.endpoint_list.apply,
+            self.log,
+            version,
+            patience=POLL_WAIT_PART * known_within / MICROSECONDS_PER_SECOND,
+            again=self.retry_when_requested,
+        )
--- /dev/null
+++ b/locktide/dispatcher/endpoint_list.py
@@ -0,0 +1,43 @@
+"""What an update of the endpoint list means for connections, attempts and the scheduler."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass, field
+
+from locktide.dispatcher.cancellation import CancellationService
+from locktide.dispatcher.endpoint_directory import EndpointDirectory
+from locktide.dispatcher.scheduler_bridge import SchedulerBridge
+from locktide.protocol.discovery import DiscoveryUpdate
+from locktide.scheduler.events import EndpointListUpdate
+from locktide.scheduler.types import ListUpdateKind
+from locktide.transport.upstream_pool import UpstreamPool
+
+
+@dataclass(eq=False, slots=True, kw_only=True)
+class EndpointListHandler:
+    """Applies updates of the endpoint list.
+
+    Attributes:
+        received: Set once an update has come from discovery; the cached list does not count.
+    """
+
+    endpoints: EndpointDirectory
+    upstream: UpstreamPool
+    cancellations: CancellationService
+    bridge: SchedulerBridge
+    received: asyncio.Event = field(default_factory=asyncio.Event)
+
+    def apply_cached(self, update: DiscoveryUpdate) -> None:
+        """Apply the list that was remembered from an earlier process, before anything else."""
+        self.endpoints.apply(update)
+        self.bridge.enqueue_event(EndpointListUpdate(ListUpdateKind.CACHED, update.entries))
+
+    def apply(self, update: DiscoveryUpdate) -> None:
+        """Apply an update of the list, and pass it to the scheduler."""
+        for worker in self.endpoints.apply(update):
+            self.upstream.close_idle(worker)
+            self.cancellations.cancel_lost(worker, self.endpoints.entries[worker].started_at)
+        kind = ListUpdateKind.SNAPSHOT if update.is_snapshot else ListUpdateKind.DELTA
+        self.bridge.enqueue_event(EndpointListUpdate(kind, update.entries))
+        self.received.set()
--- /dev/null
+++ b/locktide/dispatcher/failure_responses.py
@@ -0,0 +1,41 @@
+"""Responses to requests that the scheduler rejects or fails, or on which it failed itself."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from locktide.dispatcher.cancellation import CancellationService
+from locktide.dispatcher.registry import RequestRegistry
+from locktide.scheduler.commands import FailRequest, RejectRequest, ReportInternalError
+from locktide.transport.log import Log
+from locktide.transport.request_handler import Response
+from locktide.transport.units import MICROSECONDS_PER_SECOND
+
+
+@dataclass(eq=False, slots=True, kw_only=True)
+class FailureResponder:
+    """Responds to requests that end without a result."""
+
+    registry: RequestRegistry
+    cancellations: CancellationService
+    log: Log
+
+    def reject(self, command: RejectRequest) -> None:
+        """Respond that the request was not accepted, and when to come back."""
+        headers = []
+        if command.retry_after:
+            headers.append(("Retry-After", f"{command.retry_after / MICROSECONDS_PER_SECOND:.3f}"))
+        self.registry.respond(command.request_id, Response(503, b"denied\n", headers))
+
+    def fail(self, command: FailRequest) -> None:
+        """Respond that the request has failed."""
+        self.registry.respond(command.request_id, Response(502, b"terminated\n"))
+
+    def fail_after_internal_error(self, command: ReportInternalError) -> None:
+        """Respond at once to the request on which the scheduler failed, and cancel its attempts."""
+        error = command.detail
+        self.log.emit(f"the scheduler failed: {error}", event="scheduler_failed", error=error)
+        request = None if command.request_id is None else self.registry.get(command.request_id)
+        if request is not None:
+            self.registry.respond(request.message.id, Response(502, b"terminated\n"))
+            self.cancellations.cancel_unfinished(request)
--- /dev/null
+++ b/locktide/dispatcher/job_host.py
@@ -0,0 +1,45 @@
+"""What durable jobs use of their dispatcher."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from locktide.dispatcher.cancellation import CancellationService
+from locktide.dispatcher.clock import Clock
+from locktide.dispatcher.endpoint_directory import EndpointDirectory
+from locktide.dispatcher.registry import RequestRegistry
+from locktide.dispatcher.requests import RecoveredJob, RequestService
+from locktide.scheduler.events import EndpointEntry
+from locktide.transport.request_handler import Response
+
+
+@dataclass(eq=False, slots=True, kw_only=True)
+class JobHost:
+    """Runs the requests of durable jobs; see `Dispatcher.attach_job_store`."""
+
+    clock: Clock
+    registry: RequestRegistry
+    requests: RequestService
+    cancellations: CancellationService
+    endpoints: EndpointDirectory
+
+    def now(self) -> int:
+        """Return the dispatcher's time in microseconds."""
+        return self.clock.now()
+
+    def is_id_in_use(self, request_id: str) -> bool:
+        """Return whether a request of that id is open or was answered lately."""
+        return self.registry.is_known(request_id)
+
+    def recover(self, job: RecoveredJob) -> asyncio.Future[Response]:
+        """Recover a job of an earlier process; see `RequestService.recover`."""
+        return self.requests.recover(job)
+
+    def expire_lease(self, request_id: str, fence: int) -> None:
+        """Cancel the attempt whose lease has expired; see `CancellationService.expire_lease`."""
+        self.cancellations.expire_lease(request_id, fence)
+
+    def endpoint(self, worker: str) -> EndpointEntry:
+        """Return the entry of a worker that is listed."""
+        return self.endpoints.entries[worker]
--- /dev/null
+++ b/locktide/dispatcher/job_sender.py
@@ -0,0 +1,74 @@
+"""Sending the job of an attempt to its worker, with the last check right before the first byte."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from functools import partial
+
+from locktide.dispatcher.endpoint_directory import EndpointDirectory
+from locktide.dispatcher.records import AttemptStage, OpenAttempt, OpenRequest
+from locktide.dispatcher.runtime import Runtime
+from locktide.dispatcher.scheduler_bridge import SchedulerBridge
+from locktide.protocol import worker_messages
+from locktide.protocol.client_connection import UpstreamRequest
+from locktide.scheduler.events import AttemptSent
+from locktide.scheduler.types import AttemptOutcome
+from locktide.transport.interfaces import RequestSender, SendResult
+
+#: Seconds past the deadline for which a connection may still wait for a reply. The deadline has ended the
+#: attempt by then; this limits a reply that never comes after a callback has ended the attempt.
+LATE_REPLY_TIMEOUT = 1.0
+
+
+@dataclass(eq=False, slots=True, kw_only=True)
+class JobSender:
+    """Sends the jobs of attempts; each send ends in a reply or an outcome."""
+
+    upstream: RequestSender
+    endpoints: EndpointDirectory
+    bridge: SchedulerBridge
+    runtime: Runtime
+
+    async def send(self, request: OpenRequest, attempt: OpenAttempt) -> SendResult:
+        """Send the job of an attempt; return the worker's reply, or the outcome in place of one."""
+        reply_deadline = self.runtime.clock.to_loop_time(request.deadline) + LATE_REPLY_TIMEOUT
+        build_message = partial(self._build_message, request, attempt)
+        note_sent = partial(self._note_sent, request, attempt)
+        try:
+            async with asyncio.timeout_at(reply_deadline):
+                address = self.endpoints.addresses[attempt.worker]
+                return await self.upstream.send(attempt.worker, address, build_message, note_sent)
+        except Exception as error:  # protects the request: whatever failed, its attempt gets an outcome
+            return self._outcome_of_error(attempt, error)
+
+    def _build_message(self, request: OpenRequest, attempt: OpenAttempt) -> UpstreamRequest | None:
+        """Return what is sent, right before its first byte; None where nothing may be sent any more."""
+        now = self.runtime.clock.now()
+        time_left = request.deadline - now
+        has_ended = attempt.stage is AttemptStage.ENDED or not request.is_open or time_left <= 0
+        # A connection may come up only after the worker has forgotten the idempotency key of an earlier
+        # attempt: the job would run a second time (test_no_repeat_goes_out_once_it_is_no_longer_dropped).
+        is_late = bool(attempt.send_before) and now >= attempt.send_before
+        if has_ended or is_late or not self.endpoints.accepts_requests(attempt.worker):
+            return None
+        attempt.reach(AttemptStage.SENDING)
+        return worker_messages.job_request(request.message, time_left, attempt.fence)
+
+    def _note_sent(self, request: OpenRequest, attempt: OpenAttempt) -> None:
+        """Record that the kernel has the last byte."""
+        attempt.reach(AttemptStage.SENT)
+        attempt.sent_at = self.runtime.clock.now()
+        self.bridge.enqueue_event(AttemptSent(request.message.id, attempt.number))
+
+    def _outcome_of_error(self, attempt: OpenAttempt, error: Exception) -> AttemptOutcome:
+        """Log the error that ended an attempt, and return the attempt's outcome."""
+        description = f"{type(error).__name__}: {error}"
+        self.runtime.log.emit(
+            f"worker {attempt.worker}: an attempt ended by {description}",
+            event="attempt_failed",
+            worker=attempt.worker,
+            error=description,
+        )
+        was_begun = attempt.stage >= AttemptStage.SENDING
+        return AttemptOutcome.RESET if was_begun else AttemptOutcome.NEVER_SENT
--- a/locktide/dispatcher/job_store.py
+++ b/locktide/dispatcher/job_store.py
@@ -1,4 +1,4 @@
-"""What a dispatcher asks of the store of durable jobs; without a store it asks nothing."""
+"""What a dispatcher needs of the store of durable jobs; without a store no job is durable."""
 
 from __future__ import annotations
 
@@ -11,28 +11,32 @@
     """Keeps durable jobs and grants the leases of their attempts; see `Dispatcher.attach_job_store`."""
 
     def is_durable(self, request: OpenRequest, /) -> bool:
-        """Whether the request is a durable job."""
+        """Return whether the request is a durable job."""
 
     async def grant_lease(self, request: OpenRequest, attempt: OpenAttempt, /) -> bool:
-        """Record a lease before the first byte of the attempt; whether the attempt may be sent."""
+        """Record a lease before the first byte of the attempt; return whether the attempt may be sent."""
 
     def attempt_ended(self, request: OpenRequest, attempt: OpenAttempt, /) -> None:
         """Record the outcome of the attempt."""
 
 
 class AttemptLeases:
-    """The leases of attempts for durable jobs; any other attempt needs none."""
+    """The leases of attempts for durable jobs; any other attempt needs none.
+
+    Attributes:
+        job_store: Grants the leases; None where no job is durable.
+    """
 
     def __init__(self) -> None:
         self.job_store: JobStore | None = None
 
     async def grant(self, request: OpenRequest, attempt: OpenAttempt) -> bool:
-        """Whether the attempt may be sent: where its job is durable, its lease is on disk by then."""
+        """Return whether the attempt may be sent: where its job is durable, its lease is on disk by then."""
         if self.job_store is None or not self.job_store.is_durable(request):
             return True
         return await self.job_store.grant_lease(request, attempt)
 
     def end(self, request: OpenRequest, attempt: OpenAttempt) -> None:
-        """Tell the job store the outcome of an attempt of a durable job."""
+        """Report the outcome of an attempt of a durable job to the job store."""
         if self.job_store is not None and self.job_store.is_durable(request):
             self.job_store.attempt_ended(request, attempt)
--- a/locktide/dispatcher/records.py
+++ b/locktide/dispatcher/records.py
@@ -7,7 +7,7 @@
 
 from locktide.protocol.messages import SubmitRequest
 from locktide.scheduler.types import AttemptOutcome
-from locktide.transport.client_connection import Response
+from locktide.transport.request_handler import Response
 
 
 class AttemptStage(IntEnum):
@@ -16,12 +16,26 @@
     PENDING = 0  # no byte is out: it may wait for a connection
     SENDING = 1  # some of its bytes are out
     SENT = 2  # its last byte is with the kernel: it may run
-    ACCEPTED = 3  # its worker has it: it has answered 202, or called back
+    ACCEPTED = 3  # its worker has it: the worker has replied 202, or called back
     ENDED = 4  # it has its outcome
 
 
 class OpenAttempt:
-    """One attempt, until its outcome is reported to the scheduler."""
+    """One attempt, until its outcome is reported to the scheduler.
+
+    Attributes:
+        number: Its place among the attempts of its request, from 0.
+        worker: Name of the worker.
+        task: Sends it to its worker.
+        stage: How far it has come; changed by `reach` alone.
+        send_before: From when on no byte of it may be sent, in microseconds; 0 where the deadline counts.
+        is_cancelling: Whether its cancellation has begun.
+        was_accepted: Whether its worker has reported by 202 or by callback that it has the job.
+        outcome: How it ended, once it has.
+        sent_at: When its last byte was written, in microseconds.
+        fence: Fencing number of its lease, where the request is a durable job; else 0.
+        lease_expired: Whether its worker has no claim on the job any more.
+    """
 
     __slots__ = (
         "number",
@@ -37,19 +51,19 @@
         "lease_expired",
     )
 
-    task: asyncio.Task[None]  # sends it to its worker
+    task: asyncio.Task[None]
 
     def __init__(self, number: int, worker: str) -> None:
         self.number = number
         self.worker = worker
         self.stage = AttemptStage.PENDING
-        self.send_before = 0  # from when on no byte of it may go out; 0 where the deadline alone counts
+        self.send_before = 0
         self.is_cancelling = False
-        self.was_accepted = False  # its worker has said by 202 or by callback that it has the job
-        self.outcome: AttemptOutcome | None = None  # once it has ended
-        self.sent_at = 0  # when its last byte was written
-        self.fence = 0  # of its lease, where the request is a durable job
-        self.lease_expired = False  # its worker has no claim on the job any more
+        self.was_accepted = False
+        self.outcome: AttemptOutcome | None = None
+        self.sent_at = 0
+        self.fence = 0
+        self.lease_expired = False
 
     def reach(self, stage: AttemptStage) -> None:
         """Advance the stage, in this one place.
@@ -60,7 +74,7 @@
         self.stage = max(self.stage, stage)
 
     def end(self, outcome: AttemptOutcome) -> bool:
-        """Set the outcome; False where it has one already, as the first that is known counts."""
+        """Set the outcome; return False where it has one already, as the first that is known counts."""
         if self.stage is AttemptStage.ENDED:
             return False
         self.outcome = outcome
@@ -69,16 +83,24 @@
 
     @property
     def possibly_running(self) -> bool:
-        """All of it was written, and how it ended is not known."""
+        """Whether its last byte was written and its outcome is not known."""
         return AttemptStage.SENT <= self.stage < AttemptStage.ENDED
 
 
 class OpenRequest:
-    """One request, from its last byte until it has its response and each of its attempts its outcome."""
+    """One request, from its last byte until it has its response and each of its attempts its outcome.
+
+    Attributes:
+        message: What the client sent.
+        deadline: By when it has to have its response, in microseconds.
+        response: The response to come; cancelled once the client has gone.
+        attempts: Its attempts, in order of their numbers.
+        timer: Fires at the deadline.
+    """
 
     __slots__ = ("message", "deadline", "response", "attempts", "timer")
 
-    timer: asyncio.TimerHandle  # of the deadline
+    timer: asyncio.TimerHandle
 
     def __init__(self, message: SubmitRequest, deadline: int, response: asyncio.Future[Response]) -> None:
         self.message = message
@@ -97,16 +119,19 @@
         return not self.is_open and not self.unfinished_attempts()
 
     def unfinished_attempts(self) -> list[OpenAttempt]:
-        """The attempts that have no outcome yet, in order of their numbers."""
+        """Return the attempts that have no outcome yet, in order of their numbers."""
         return [attempt for attempt in self.attempts if attempt.stage is not AttemptStage.ENDED]
 
     def accepted_there_before(self, later: OpenAttempt) -> bool:
-        """Whether its worker had accepted an earlier attempt: a callback from there may be about either."""
+        """Return whether the worker of `later` had accepted an earlier attempt.
+
+        A callback from there may be about either of them.
+        """
         earlier = self.attempts[: later.number]
         return any(attempt.was_accepted and attempt.worker == later.worker for attempt in earlier)
 
     def attempt_running_at(self, worker: str) -> OpenAttempt | None:
-        """The attempt that a callback from this worker is about: one that the worker can have."""
+        """Return the attempt that a callback from this worker is about: one that the worker can have."""
         for attempt in self.unfinished_attempts():
             if attempt.worker == worker and attempt.possibly_running:
                 return attempt
--- a/locktide/dispatcher/registry.py
+++ b/locktide/dispatcher/registry.py
@@ -7,21 +7,27 @@
 from locktide.dispatcher.records import OpenRequest
 from locktide.dispatcher.settings import DispatcherSettings
 from locktide.scheduler.types import RequestId
-from locktide.transport.client_connection import Response
+from locktide.transport.request_handler import Response
+from locktide.transport.units import MICROSECONDS_PER_SECOND
 
 
 class RequestRegistry:
-    """Owns the open requests; each leaves once it has its response and its attempts their outcomes."""
+    """Owns the open requests; each leaves once it has its response and its attempts their outcomes.
+
+    Attributes:
+        open_requests: The open requests by id.
+        answered_ids: Ids of earlier requests, and when each may be forgotten, in seconds of the event loop;
+            oldest first.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: DispatcherSettings) -> None:
         self.open_requests: dict[RequestId, OpenRequest] = {}
-        # Ids of earlier requests, and when each may be forgotten by the loop's clock; oldest first.
         self.answered_ids: dict[str, float] = {}
         self._loop = loop
         self._settings = settings
 
     def is_known(self, request_id: str) -> bool:
-        """Whether the id is that of an open request or of one that was answered lately."""
+        """Return whether the id is that of an open request or of one that was answered lately."""
         return request_id in self.open_requests or request_id in self.answered_ids
 
     def add(self, request: OpenRequest) -> None:
@@ -29,11 +35,11 @@
         self.open_requests[request.message.id] = request
 
     def get(self, request_id: RequestId) -> OpenRequest | None:
-        """The open request of that id."""
+        """Return the open request of that id."""
         return self.open_requests.get(request_id)
 
     def open_count(self) -> int:
-        """The number of requests for whose response a client waits."""
+        """Return the number of requests for whose response a client waits."""
         return sum(
             request.is_open and not request.message.background for request in self.open_requests.values()
         )
@@ -46,17 +52,21 @@
             self.release_settled(request)
 
     def release_settled(self, request: OpenRequest) -> None:
-        """Remove the request where it is settled, and remember its id."""
+        """Remove the request where it is settled, and remember its id.
+
+        A worker may know the id for as long as a request may last. Given to another request meanwhile, it
+        would make the worker take one for the other.
+        """
         if not request.is_settled:
             return
         request.timer.cancel()
         if self.open_requests.pop(request.message.id, None):
-            # Guards against the id of another client's request: each has a new one. A worker may know it for
-            # as long as a request may last.
-            self.answered_ids[request.message.id] = self._loop.time() + self._settings.longest_timeout / 1e6
+            longest_timeout = self._settings.longest_timeout / MICROSECONDS_PER_SECOND
+            self.answered_ids[request.message.id] = self._loop.time() + longest_timeout
 
     def forget_answered(self) -> None:
         """Forget the ids that no worker can know any more."""
         now = self._loop.time()
-        for request_id in [known for known, until in self.answered_ids.items() if until < now]:
+        expired = [request_id for request_id, until in self.answered_ids.items() if until < now]
+        for request_id in expired:
             del self.answered_ids[request_id]
--- a/locktide/dispatcher/reload.py
+++ b/locktide/dispatcher/reload.py
@@ -9,40 +9,36 @@
 from locktide.dispatcher.endpoint_follower import EndpointFollower
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.dispatcher.scheduler_bridge import SchedulerBridge
-from locktide.dispatcher.settings import DispatcherSettings, with_socket_settings
+from locktide.dispatcher.settings import SettingsUpdater, with_socket_settings
 from locktide.scheduler.events import ConfigReloaded
-from locktide.transport.listener import Listener
 from locktide.transport.log import Log
-from locktide.transport.upstream_pool import UpstreamPool
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(eq=False, slots=True, kw_only=True)
 class ConfigReloader:
     """Passes new settings to the parts that go by them, and to the scheduler."""
 
-    settings: DispatcherSettings
-    upstream: UpstreamPool
-    listener: Listener
+    updater: SettingsUpdater
     bridge: SchedulerBridge
     registry: RequestRegistry
     follower: EndpointFollower
     log: Log
 
     def reload(self, start: Start) -> None:
-        """Put new settings and the worker list's address in force.
+        """Put new settings and the address of discovery in force.
 
-        Open requests keep their deadlines and their service class, connections and jobs go on, and the way
-        back is the same step.
+        Open requests keep their deadlines and their service class, and connections and jobs continue. A
+        reload of the earlier settings takes all of it back.
         """
         start = with_socket_settings(start)
-        self.settings.apply(start, self.upstream, self.listener)
+        self.updater.apply(start)
         self.bridge.enqueue_event(ConfigReloaded(start.scheduler_config))
         self._log_reload()
         self.follower.restart()
 
     def _log_reload(self) -> None:
-        discovery = format_address(self.settings.discovery)
-        service_classes = ", ".join(self.listener.timeouts)
+        discovery = format_address(self.updater.settings.discovery)
+        service_classes = ", ".join(self.updater.listener.timeouts)
         open_count = self.registry.open_count()
         self.log.emit(
             f"reload: settings taken, {open_count} requests open; service classes {service_classes}; "
--- a/locktide/dispatcher/runtime.py
+++ b/locktide/dispatcher/runtime.py
@@ -9,7 +9,7 @@
 from locktide.transport.log import Log
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Runtime:
     """The event loop, the clock and the log of one process."""
 
@@ -20,7 +20,13 @@
 
 @dataclass(slots=True)
 class ServingState:
-    """Where the process is between its start and its exit."""
+    """Where the process is between its start and its exit.
+
+    Attributes:
+        is_serving: Whether the listening socket is open.
+        shutdown_deadline: By when new requests have to have their response, in seconds of the event loop; set
+            once a shutdown limits them.
+    """
 
     is_serving: bool = False
-    shutdown_deadline: float | None = None  # by the loop's clock; set once a shutdown limits new requests
+    shutdown_deadline: float | None = None
--- a/locktide/dispatcher/scheduler_bridge.py
+++ b/locktide/dispatcher/scheduler_bridge.py
@@ -1,49 +1,58 @@
-"""Between the process and its scheduler: events are collected and handed over, commands are carried out."""
+"""Between the process and its scheduler: events are collected and handed over, commands are executed."""
 
 from __future__ import annotations
 
 import traceback
-from collections.abc import Callable, Mapping
-from typing import Any
+from collections.abc import Callable
+from typing import TypeAlias
 
-from locktide.dispatcher.registry import RequestRegistry
-from locktide.dispatcher.runtime import Runtime, ServingState
-from locktide.scheduler.commands import SetTimer
-from locktide.scheduler.events import TimerFired
+from locktide.dispatcher.clock import Clock
+from locktide.dispatcher.runtime import Runtime
+from locktide.scheduler.commands import Command, SetTimer
+from locktide.scheduler.events import Event, TimerFired
 from locktide.scheduler.scheduler import Scheduler
+from locktide.transport.units import MICROSECONDS_PER_SECOND
 
-Observer = Callable[[Any], None]
-CommandHandler = Callable[[Any], None]
+#: Executes one command.
+CommandHandler: TypeAlias = Callable[[Command], None]
+#: Sees each event as it is enqueued and each command before it is executed.
+Observer: TypeAlias = Callable[[object], None]
 
-TRACEBACK_LINES = 3  # of the end of a traceback, in one log line
+#: Lines of the end of a traceback that go into one log line.
+TRACEBACK_LINES = 3
 
 
 def describe_current_error() -> str:
-    """The last lines of the traceback that is being handled, on one line."""
+    """Return the last lines of the traceback that is being handled, on one line."""
     return " | ".join(traceback.format_exc().splitlines()[-TRACEBACK_LINES:])
 
 
 class SchedulerBridge:
-    """Passes events to the scheduler and its commands to their handlers; observers see both."""
+    """Passes events to the scheduler and its commands to their executor; observers see both.
 
-    def __init__(
-        self, scheduler: Scheduler, registry: RequestRegistry, runtime: Runtime, state: ServingState
-    ) -> None:
+    Attributes:
+        observers: Called with each event and command, in the order in which they were added.
+    """
+
+    def __init__(self, scheduler: Scheduler, runtime: Runtime) -> None:
         self.observers: list[Observer] = []
-        self.command_handlers: dict[type, CommandHandler] = {SetTimer: self.set_timer}
         self._scheduler = scheduler
-        self._registry = registry
         self._runtime = runtime
-        self._state = state
-        self._pending_events: list[Any] = []
+        self._execute: CommandHandler | None = None
+        self._pending_events: list[Event] = []
         self._step_scheduled = False
 
-    def register_handlers(self, handlers: Mapping[type, CommandHandler]) -> None:
-        """Set who carries out the commands of each type."""
-        self.command_handlers.update(handlers)
+    @property
+    def clock(self) -> Clock:
+        """The clock of the scheduler's events and commands."""
+        return self._runtime.clock
+
+    def connect(self, execute: CommandHandler) -> None:
+        """Set who executes the commands, before the first event."""
+        self._execute = execute
 
-    def enqueue_event(self, event: Any) -> None:
-        """Queue an event for the scheduler; all that are queued by the next loop turn go in one step."""
+    def enqueue_event(self, event: Event) -> None:
+        """Queue an event for the scheduler; the events of one loop turn are handed over in one step."""
         self._pending_events.append(event)
         self._notify_observers(event)
         if not self._step_scheduled:
@@ -51,9 +60,10 @@
             self._runtime.loop.call_soon(self.step_scheduler)
 
     def step_scheduler(self) -> None:
-        """Hand the queued events to the scheduler and carry out its commands."""
+        """Hand the queued events to the scheduler and execute its commands."""
         self._step_scheduled = False
-        events, self._pending_events = self._pending_events, []
+        events = self._pending_events
+        self._pending_events = []
         try:
             commands = self._scheduler.step(self._runtime.clock.now(), events)
         except Exception:  # protects the process: requests end by their deadlines all the same
@@ -69,27 +79,21 @@
                     f"a command was not carried out: {error}", event="command_failed", error=error
                 )
 
-    def execute(self, command: Any) -> None:
-        """Carry out one command, unless the next process goes on with what it is about."""
+    def execute(self, command: Command) -> None:
+        """Show the command to the observers and execute it."""
+        assert self._execute is not None, "connect comes first"
         self._notify_observers(command)
-        if not self._is_left_to_next_process(command):
-            self.command_handlers[type(command)](command)
+        self._execute(command)
 
-    def set_timer(self, command: SetTimer) -> None:
+    def start_timer(self, command: SetTimer) -> None:
         """Send the scheduler a timer event after the delay."""
-        event = TimerFired(command.timer_id)
-        self._runtime.loop.call_later(command.delay / 1e6, self.enqueue_event, event)
+        delay = command.delay / MICROSECONDS_PER_SECOND
+        self._runtime.loop.call_later(delay, self.enqueue_event, TimerFired(command.timer_id))
 
-    def _notify_observers(self, message: Any) -> None:
+    def _notify_observers(self, message: Event | Command) -> None:
         for observer in self.observers:
             try:
                 observer(message)
-            except Exception as trouble:  # protects the event or command: it is processed all the same
-                error = f"{type(trouble).__name__}: {trouble}"
+            except Exception as fault:  # protects the event or command: it is processed all the same
+                error = f"{type(fault).__name__}: {fault}"
                 self._runtime.log.emit(f"an observer failed: {error}", event="observer_failed", error=error)
-
-    def _is_left_to_next_process(self, command: Any) -> bool:
-        """Whether, in a shutdown, it is about a background job: what is on disk stays as it is."""
-        request = self._registry.get(getattr(command, "request_id", ""))
-        shutting_down = self._state.shutdown_deadline is not None
-        return shutting_down and request is not None and request.message.background
--- a/locktide/dispatcher/service.py
+++ b/locktide/dispatcher/service.py
@@ -24,7 +24,7 @@
     """A service that was attached to the dispatcher, until it is closed."""
 
     async def close(self) -> None:
-        """End the service, after the dispatcher has stopped."""
+        """Close the service, after the dispatcher has stopped."""
 
 
 async def serve(
@@ -36,8 +36,12 @@
 ) -> None:
     """Serve until SIGTERM or SIGINT.
 
-    `read_start` reads the settings anew at SIGHUP and may raise ConfigError. Each of `attach` adds a service
-    to the dispatcher before it serves, and may raise what ends the start.
+    Args:
+        start: The settings.
+        known: The cached endpoint list.
+        log: The log.
+        read_start: Reads the settings anew at SIGHUP; may raise ConfigError.
+        attach: Each adds a service to the dispatcher before it serves, and may raise what ends the start.
     """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -53,7 +57,7 @@
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    gc.freeze()  # what stands by now stays; collections have less to go through
+    gc.freeze()  # the objects of the start stay; later collections need not look at them
     services = [await attach_service(dispatcher) for attach_service in attach]
     await dispatcher.run(stop)
     for service in services:
--- /dev/null
+++ b/locktide/dispatcher/startup.py
@@ -0,0 +1,43 @@
+"""The start of a dispatcher: it accepts connections once it has the endpoint list."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from locktide.config.address import Address, format_address
+from locktide.dispatcher.endpoint_directory import EndpointDirectory
+from locktide.dispatcher.endpoint_follower import EndpointFollower
+from locktide.dispatcher.runtime import ServingState
+from locktide.transport.listener import Listener
+from locktide.transport.log import Log
+
+
+@dataclass(eq=False, slots=True, kw_only=True)
+class Startup:
+    """Waits for the endpoint list, then listens."""
+
+    follower: EndpointFollower
+    endpoints: EndpointDirectory
+    listener: Listener
+    listen_address: Address
+    state: ServingState
+    log: Log
+
+    async def run(self) -> None:
+        """Listen once the list is there, or its time is over; raises OSError.
+
+        A proxy in front keeps sending to a dispatcher that has restarted. Accepted before the list is there,
+        requests were sent to workers that were draining by then
+        (test_nothing_is_accepted_before_the_list_is_had).
+        """
+        await self.follower.wait_for_first_list()
+        self.listener.listen(self.listen_address)
+        self.state.is_serving = True
+        address = format_address(self.listen_address)
+        workers = len(self.endpoints.entries)
+        self.log.emit(
+            f"serving on {address}, {workers} workers known",
+            event="dispatcher_serving",
+            listen=address,
+            workers=workers,
+        )
--- /dev/null
+++ b/locktide/dispatcher/worker_replies.py
@@ -0,0 +1,69 @@
+"""What a worker's reply to a job means for the attempt and its request."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from locktide.dispatcher.cancellation import CancellationService
+from locktide.dispatcher.completion import AttemptCompletion
+from locktide.dispatcher.records import AttemptStage, OpenAttempt, OpenRequest
+from locktide.dispatcher.registry import RequestRegistry
+from locktide.protocol import worker_messages
+from locktide.protocol.client_connection import UpstreamResponse
+from locktide.scheduler.types import AttemptOutcome
+from locktide.transport.interfaces import SendResult, TransportFailure
+from locktide.transport.log import Log
+from locktide.transport.request_handler import Response
+
+#: Outcomes that do not prove the end of a job once its worker has called back about it: the connection or the
+#: refusal says nothing of the job that runs, and a retry elsewhere would be a second copy.
+UNTRUSTED_ONCE_ACCEPTED = frozenset(
+    (
+        AttemptOutcome.RESET,
+        AttemptOutcome.CONNECTION_CLOSED,
+        AttemptOutcome.FULL,
+        AttemptOutcome.UNPROCESSABLE,
+    )
+)
+
+
+@dataclass(eq=False, slots=True, kw_only=True)
+class WorkerReplyHandler:
+    """Applies workers' replies, and the outcomes in place of one, to attempts."""
+
+    registry: RequestRegistry
+    completion: AttemptCompletion
+    cancellations: CancellationService
+    log: Log
+
+    def handle_result(self, request: OpenRequest, attempt: OpenAttempt, result: SendResult) -> None:
+        """Apply the result of sending an attempt."""
+        if result is TransportFailure.INVALID_RESPONSE:
+            # Half a response comes from a worker that lives and may have accepted the job. Taken for its end,
+            # a retry would be a second copy; so the worker is to confirm a cancellation first
+            # (test_what_a_worker_has_is_given_up_there_before_its_broken_connection_counts).
+            self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.RESET)
+            return
+        outcome = worker_messages.response_outcome(result) if isinstance(result, UpstreamResponse) else result
+        if outcome is None:
+            attempt.reach(AttemptStage.ACCEPTED)
+        elif attempt.was_accepted and outcome in UNTRUSTED_ONCE_ACCEPTED:
+            self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.RESET)
+        else:
+            self._finish(request, attempt, outcome)
+
+    def _finish(self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
+        if outcome is AttemptOutcome.UNPROCESSABLE:
+            self._respond_unprocessable(request, attempt)
+        self.completion.finish(request, attempt, outcome)
+
+    def _respond_unprocessable(self, request: OpenRequest, attempt: OpenAttempt) -> None:
+        request_id = request.message.id
+        self.log.emit(
+            f"worker {attempt.worker}: refused request {request_id}",
+            "clients",
+            event="request_refused",
+            worker=attempt.worker,
+            request=request_id,
+        )
+        self.registry.respond(request_id, Response(400, b"turned away by a worker\n"))
--- a/locktide/durable/job_dispatcher.py
+++ b/locktide/durable/job_dispatcher.py
@@ -5,6 +5,7 @@
 import asyncio
 
 from locktide.dispatcher.dispatcher import Dispatcher
+from locktide.dispatcher.requests import RecoveredJob
 from locktide.durable.leases import Lease
 from locktide.durable.log.records import JobAccepted
 from locktide.durable.recovery import ResumeJob
@@ -18,14 +19,15 @@
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
+        self.host = dispatcher.job_host
 
     def now(self) -> int:
         """Returns the dispatcher's time in microseconds."""
-        return self.dispatcher.clock.now()
+        return self.host.now()
 
     def is_id_in_use(self, request_id: str) -> bool:
         """Whether a request of that id is open or was answered lately."""
-        return request_id in self.dispatcher.open_requests or request_id in self.dispatcher.answered_ids
+        return self.host.is_id_in_use(request_id)
 
     def submit(
         self, accepted: JobAccepted, timeout: int, background: bool
@@ -40,11 +42,19 @@
         request = _request_of(accepted, timeout, background=True)
         arrived_at = min(self.now(), step.deadline - timeout)
         fences = [lease.fence for lease in step.job.leases]
-        return self.dispatcher.recover(request, arrived_at, step.deadline, step.attempts, fences)
+        return self.host.recover(
+            RecoveredJob(
+                message=request,
+                arrived_at=arrived_at,
+                deadline=step.deadline,
+                attempts=step.attempts,
+                fences=fences,
+            )
+        )
 
     def expire_lease(self, lease: Lease) -> None:
         """Ends the attempt of a lease that has run out."""
-        self.dispatcher.expire_lease(lease.job_id, lease.fence)
+        self.host.expire_lease(lease.job_id, lease.fence)
 
     def handle_callback(self, callback: Callback) -> None:
         """Passes on what a worker reports."""
@@ -52,7 +62,7 @@
 
     def endpoint(self, worker: str) -> EndpointEntry:
         """Returns the entry of a worker that is listed."""
-        return self.dispatcher.endpoints.entries[worker]
+        return self.host.endpoint(worker)
 
 
 def _request_of(accepted: JobAccepted, timeout: int, background: bool) -> SubmitRequest:
--- a/locktide/simulation/virtual_backend.py
+++ b/locktide/simulation/virtual_backend.py
@@ -171,7 +171,9 @@
         terms = replace(
             terms, member_id=(process.name, round(self.wall() * 1e6)), random_seed=len(self.traces)
         )
-        driver = await open_udp_transport(terms, log, node, (process.address, TALK_PORT), RecordedText(trace))
+        driver = await open_udp_transport(
+            terms, log, node.bridge, (process.address, TALK_PORT), RecordedText(trace)
+        )
         self.drivers[number] = process, driver
         return driver
 
--- a/locktide/transport/upstream_pool.py
+++ b/locktide/transport/upstream_pool.py
@@ -4,13 +4,13 @@
 
 import asyncio
 from collections.abc import Callable
-from enum import StrEnum
 
 from locktide.config.address import Address, format_address
 from locktide.protocol.client_connection import ClientHttpConnection, UpstreamRequest, UpstreamResponse
 from locktide.protocol.errors import ProtocolError
 from locktide.scheduler.types import AttemptOutcome
 from locktide.transport.descriptor_budget import DescriptorBudget
+from locktide.transport.interfaces import SendResult, TransportFailure
 from locktide.transport.streams import (
     CountingStreamReader,
     DrainNotifyingProtocol,
@@ -24,13 +24,6 @@
 DUPLICATE_RESPONSE_WINDOW = 0.05
 
 
-class TransportFailure(StrEnum):
-    """A failure on a connection that by itself does not say how the attempt ended."""
-
-    # What came back is no response, or half of one. Its worker lives and may have accepted the request.
-    INVALID_RESPONSE = "invalid response"
-
-
 class CallOnce:
     """Passes on the first of its calls, and notes that it came."""
 
@@ -151,7 +144,7 @@
         build: Callable[[], UpstreamRequest | None],
         sent: Callable[[], None],
         fresh: bool = False,
-    ) -> UpstreamResponse | AttemptOutcome | TransportFailure:
+    ) -> SendResult:
         """Sends a request; returns its response, or what became of it in place of one.
 
         Cancelled, it closes the connection.
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -248,7 +248,7 @@
         address = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
         quotas = [QuotaSpec("dairy", 5.0, 25.0)]
         config = ClusterConfig(("d0", 1), address, {"d0": address}, [], quotas, 0.2, 2)
-        transport = await open_udp_transport(config, play.node.log, play.node, address)
+        transport = await open_udp_transport(config, play.node.log, play.node.bridge, address)
         request = replace(submission("a"), tenant="dairy")
         play.node.submit(request)
         assert transport.member.local_quota.demand == {"dairy": 1}
@@ -257,11 +257,11 @@
         assert [stage.shares for stage in updates[0].stages] == [{"dairy": 0.1}] * 2
         assert play.node.scheduler.quotas.shares is updates[-1]
         count = len(play.turns)
-        play.node.enqueue_event(ConfigReloaded(terms_of(3, 1, False, 0.4)))
+        play.node.bridge.enqueue_event(ConfigReloaded(terms_of(3, 1, False, 0.4)))
         await asyncio.sleep(0.01)
         assert len(play.turns) > count
         assert play.node.scheduler.quotas.shares.stages[-1].shares == {"dairy": 0.1}
         await transport.close()
-        assert play.node.observers == []
+        assert play.node.bridge.observers == []
 
     asyncio.run(run())
--- a/tests/dispatcher/test_attempts.py
+++ b/tests/dispatcher/test_attempts.py
@@ -21,7 +21,7 @@
         elif change == "gone":
             play.list(shot.worker, EndpointState.GONE)
         elif change == "answered":
-            play.node.open_requests["a"].response.set_result(Response(502))
+            play.node.registry.open_requests["a"].response.set_result(Response(502))
         elif change == "late":
             play.node.clock.offset += 1.0
         question = shot.build()
@@ -35,14 +35,14 @@
 
 
 def test_reply_that_never_comes_is_given_up_after_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("locktide.dispatcher.attempts.LATE_REPLY_TIMEOUT", 0.02)
+    monkeypatch.setattr("locktide.dispatcher.job_sender.LATE_REPLY_TIMEOUT", 0.02)
 
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a", patience=200_000))
         shot = await play.sent("a")
         play.call("a", shot.worker, "done")
         await play.settle()
-        assert not play.node.open_requests and play.node.tasks
+        assert not play.node.registry.open_requests and play.node.tasks
         while play.node.tasks:
             await asyncio.sleep(0.005)
         assert shot.cancelled and play.outcomes() == [AttemptOutcome.DONE]
@@ -57,6 +57,6 @@
         (await play.sent("a")).reply(404)
         await play.settle()
         assert answer.result().status == 400 and play.outcomes() == [AttemptOutcome.UNPROCESSABLE]
-        assert len(play.asked) == 1 and not play.node.open_requests
+        assert len(play.asked) == 1 and not play.node.registry.open_requests
 
     run_story(story)
--- a/tests/dispatcher/test_callbacks.py
+++ b/tests/dispatcher/test_callbacks.py
@@ -23,7 +23,7 @@
         play.call("a", shot.worker, "done", b"twice")
         shot.reply(202)
         await play.settle()
-        assert play.outcomes() == [AttemptOutcome.DONE] and not play.node.open_requests
+        assert play.outcomes() == [AttemptOutcome.DONE] and not play.node.registry.open_requests
         assert sum(type(piece) is AttemptSent for _, news in play.turns for piece in news) == 1
 
     run_story(story)
--- a/tests/dispatcher/test_cancellation.py
+++ b/tests/dispatcher/test_cancellation.py
@@ -14,7 +14,7 @@
 import pytest
 from helpers import TAKEN, Asked, HandPlayed, free_address, run_story, submission, submit, until_serving
 
-from locktide.dispatcher.cancellation import IMMEDIATE_TRIES
+from locktide.dispatcher.cancellation_delivery import IMMEDIATE_TRIES, CancellationDelivery
 from locktide.scheduler.commands import CancelAttempt
 from locktide.scheduler.types import AttemptOutcome
 from locktide.simulation.model import scenario as script
@@ -100,7 +100,7 @@
             if word:
                 play.call("a", asked.worker, word, b"result")
             else:
-                play.node.requests.time_out(play.node.open_requests["a"])
+                play.node.timeouts.time_out(play.node.registry.open_requests["a"])
             await play.settle()
             assert play.outcomes() == [AttemptOutcome.DONE if word else AttemptOutcome.TIMED_OUT]
             for _ in range(2):
@@ -124,7 +124,7 @@
         if accepted:
             asked.reply(202)
         await play.settle()
-        play.node.client_disconnected(play.node.open_requests["b/1"].message)
+        play.node.client_disconnected(play.node.registry.open_requests["b/1"].message)
         await play.settle()
         assert asked.cancelled != accepted and play.outcomes() == []
         question = play.asked[-1].build()
@@ -132,7 +132,7 @@
         assert (question.method, question.target) == ("DELETE", "/jobs/b%2F1")
         play.asked[-1].reply(204)
         await play.settle()
-        assert play.outcomes() == [AttemptOutcome.CANCELLED] and not play.node.open_requests
+        assert play.outcomes() == [AttemptOutcome.CANCELLED] and not play.node.registry.open_requests
 
     run_story(story)
 
@@ -141,9 +141,9 @@
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a"))
         await play.ordered("a")
-        play.node.client_disconnected(play.node.open_requests["a"].message)
+        play.node.client_disconnected(play.node.registry.open_requests["a"].message)
         await play.settle()
-        assert play.outcomes() == [AttemptOutcome.NEVER_SENT] and not play.node.open_requests
+        assert play.outcomes() == [AttemptOutcome.NEVER_SENT] and not play.node.registry.open_requests
 
     run_story(story)
 
@@ -154,8 +154,8 @@
         play.node.submit(submission("a"))
         (await play.sent("a")).reply(202)
         await play.settle()
-        play.node.client_disconnected(play.node.open_requests["a"].message)
-        while play.node.open_requests:
+        play.node.client_disconnected(play.node.registry.open_requests["a"].message)
+        while play.node.registry.open_requests:
             await asyncio.sleep(0.005)
         await play.settle()  # the scheduler has the outcome in the next loop turn
         assert play.outcomes() == [AttemptOutcome.CANCELLED]
@@ -169,7 +169,7 @@
         play.node.submit(submission("a"))
         (await play.sent("a")).reply(202)
         await play.settle()
-        play.node.client_disconnected(play.node.open_requests["a"].message)
+        play.node.client_disconnected(play.node.registry.open_requests["a"].message)
         await play.settle()
         for outcome in (AttemptOutcome.CONNECTION_CLOSED, AttemptOutcome.RESET):
             play.asked[-1].end(outcome)
@@ -178,7 +178,7 @@
         assert len(play.asked) == 4
         play.asked[-1].reply(200)
         await play.settle()
-        assert play.outcomes() == [AttemptOutcome.CANCELLED] and not play.node.open_requests
+        assert play.outcomes() == [AttemptOutcome.CANCELLED] and not play.node.registry.open_requests
 
     run_story(story)
 
@@ -264,5 +264,5 @@
     async def delivered_at_once(*_: object) -> bool:
         return True
 
-    monkeypatch.setattr("locktide.dispatcher.cancellation.deliver_cancellation", delivered_at_once)
+    monkeypatch.setattr(CancellationDelivery, "deliver", delivered_at_once)
     assert in_virtual_time(script.load(ZONE_LOST)).told["rules"]["copies"] > 0
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -13,6 +13,7 @@
 from helpers import GRADES, Checked, Clerk, HandPlayed, call, free_address, listed, submission, submit, terms
 
 from locktide.config.start import Start
+from locktide.dispatcher.attempts import AttemptRunner
 from locktide.protocol.client_connection import UpstreamRequest, UpstreamResponse
 from locktide.scheduler.commands import StartAttempt, WatchEndpoints
 from locktide.scheduler.config import EndpointListConfig
@@ -22,9 +23,10 @@
 from locktide.transport.client_connection import ConnectionState, PeerRole, Response
 from locktide.transport.descriptor_budget import DescriptorBudget
 from locktide.transport.endpoint_watch import WAIT_MS
+from locktide.transport.interfaces import TransportFailure
 from locktide.transport.listener import Listener
 from locktide.transport.log import Log
-from locktide.transport.upstream_pool import TransportFailure, UpstreamConnection, UpstreamPool
+from locktide.transport.upstream_pool import UpstreamConnection, UpstreamPool
 
 
 def reset(client: socket.socket) -> None:
@@ -108,11 +110,11 @@
             play.list(worker, EndpointState.DRAINING)
         client = socket.create_connection(address)
         client.sendall(submit(Req_Deadline="3000m"))
-        await until(lambda: play.node.open_requests)
+        await until(lambda: play.node.registry.open_requests)
         await play.settle()
         go(client)
         play.list("w1", EndpointState.READY)  # nothing of ours ran in between
-        await until(lambda: not play.node.open_requests)
+        await until(lambda: not play.node.registry.open_requests)
         assert play.begun == []
 
         client = socket.create_connection(address)
@@ -121,7 +123,7 @@
         play.list("w2", EndpointState.READY)
         go(client)
         play.asked[-1].end(AttemptOutcome.RESET)  # it would go to another
-        await until(lambda: not play.node.open_requests)
+        await until(lambda: not play.node.registry.open_requests)
         assert play.begun == ["POST w1"]
         await play.node.listener.stop()
 
@@ -307,17 +309,17 @@
 
         listening = await asyncio.start_server(agent, "127.0.0.1", 0)
         node = play.node
-        node.settings.discovery, node.lifecycle.listen_address = (
+        node.settings.discovery, node.startup.listen_address = (
             listening.sockets[0].getsockname(),
             free_address(),
         )
         running = asyncio.create_task(node.run(stop))
         await asked.wait()
         with pytest.raises(ConnectionRefusedError):
-            socket.create_connection(node.lifecycle.listen_address)
+            socket.create_connection(node.startup.listen_address)
         go.set()
         await until(node.is_ready)
-        socket.create_connection(node.lifecycle.listen_address).close()
+        socket.create_connection(node.startup.listen_address).close()
         assert not any(node.endpoints.accepts_requests(worker) for worker in ("w0", "w1", "w2"))
         running.cancel()
         await node.listener.stop()
@@ -435,7 +437,7 @@
         first.reply(202)
         play.call("a", "w0", "returned")
         await play.settle()
-        held, scheduler = play.node.open_requests["a"], play.node.scheduler
+        held, scheduler = play.node.registry.open_requests["a"], play.node.scheduler
         scheduler.endpoints.by_id["w0"].unavailable_until = scheduler.requests.open["a"].not_before = 0
         await until(lambda: len(held.attempts) == 2)  # there is nowhere else to go
         await play.settle()
@@ -460,7 +462,7 @@
         play.node.submit(submission("a", grade="record", patience=6_000_000))
         first = await play.sent("a")
         first.end(AttemptOutcome.RESET)
-        held = play.node.open_requests["a"]
+        held = play.node.registry.open_requests["a"]
         await until(lambda: len(held.attempts) == 2)
         await play.settle()
         late = play.asked[-1]
@@ -496,7 +498,7 @@
             first.sent()
         await play.settle()
         first.end(AttemptOutcome.RESET)
-        held = play.node.open_requests["a"]
+        held = play.node.registry.open_requests["a"]
         await until(lambda: len(held.attempts) == 2)  # numbered, as it came: it may be repeated
         memory = next(grade for grade in GRADES if grade.name == "record").deduplication_window
         assert abs(held.attempts[1].send_before - held.attempts[0].sent_at - memory) < 100_000
@@ -581,8 +583,8 @@
         answers = {name: play.node.submit(submission(name)) for name in ("one", "poor", "two")}
         await play.settle()
         assert answers["poor"] is not None and answers["poor"].result().status == 502
-        assert [len(play.node.open_requests[name].attempts) for name in ("one", "two")] == [1, 1]
-        assert "poor" not in play.node.open_requests and any(
+        assert [len(play.node.registry.open_requests[name].attempts) for name in ("one", "two")] == [1, 1]
+        assert "poor" not in play.node.registry.open_requests and any(
             "out of sorts" in line for line in play.lines_logged
         )
 
@@ -601,13 +603,13 @@
         (await play.sent("a")).reply(202)
         timers = scheduler.timers.pending
         mark = next(mark for mark, target in timers.items() if target is not TimerPurpose.ROUND)
-        play.node.enqueue_event(TimerFired(mark))
+        play.node.bridge.enqueue_event(TimerFired(mark))
         await play.settle()
         assert answer is not None and answer.result().status == 502
         assert play.asked[-1].build().method == "DELETE"  # type: ignore[union-attr]
         play.asked[-1].reply(204)
         await play.settle()
-        assert not play.node.open_requests and not scheduler.requests.open
+        assert not play.node.registry.open_requests and not scheduler.requests.open
 
     played(story)
 
@@ -627,27 +629,32 @@
             raise ValueError("a part of sorts")
 
         rounds.place_waiting = once
-        play.node.observers.append(part)
+        play.node.bridge.observers.append(part)
         play.node.submit(submission("a"))
-        await until(lambda: play.node.open_requests["a"].attempts)  # by the next round
+        await until(lambda: play.node.registry.open_requests["a"].attempts)  # by the next round
         assert failed[0] and any("a part of sorts" in line for line in play.lines_logged)
 
     played(story)
 
 
-def test_an_order_that_fails_costs_itself_alone() -> None:
-    async def story(play: HandPlayed) -> None:
-        carry = play.node.bridge.command_handlers[StartAttempt]
+def test_an_order_that_fails_costs_itself_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+    start_attempt = AttemptRunner.start_attempt
 
-        def faulty(order: StartAttempt) -> None:
-            if order.request_id == "poor":
-                raise ValueError("out of sorts")
-            carry(order)
+    def faulty(runner: AttemptRunner, order: StartAttempt) -> None:
+        if order.request_id == "poor":
+            raise ValueError("out of sorts")
+        start_attempt(runner, order)
 
-        play.node.bridge.command_handlers[StartAttempt] = faulty
+    monkeypatch.setattr(AttemptRunner, "start_attempt", faulty)
+
+    async def story(play: HandPlayed) -> None:
         for name in ("poor", "one", "two"):
             play.node.submit(submission(name))
         await play.settle()
-        assert [len(play.node.open_requests[name].attempts) for name in ("poor", "one", "two")] == [0, 1, 1]
+        assert [len(play.node.registry.open_requests[name].attempts) for name in ("poor", "one", "two")] == [
+            0,
+            1,
+            1,
+        ]
 
     played(story)
--- a/tests/dispatcher/test_event_orders.py
+++ b/tests/dispatcher/test_event_orders.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from rig import play
 
-from locktide.dispatcher import cancellation
-from locktide.dispatcher.endpoint_follower import EndpointFollower
+from locktide.dispatcher.cancellation_delivery import CancellationDelivery
+from locktide.dispatcher.endpoint_list import EndpointListHandler
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.scheduler.types import AttemptOutcome
 from locktide.transport.client_session import ClientSession
@@ -94,18 +94,18 @@
         TAKE_LIST(self, update)
 
 
-ANSWER, ASK, TAKE_LIST = RequestRegistry.respond, UpstreamPool.send, EndpointFollower.apply_endpoint_list
+ANSWER, ASK, TAKE_LIST = RequestRegistry.respond, UpstreamPool.send, EndpointListHandler.apply
 WHILE = "speak " * 20
 SEEDED = [
     ("gone", ClientSession, "abandon", ignore, story("view close", WHILE, "break")),
     (
         "drain",
-        EndpointFollower,
-        "apply_endpoint_list",
+        EndpointListHandler,
+        "apply",
         first_list_only,
         story("leaving:0 leaving:1", WHILE, "view " * 4),
     ),
-    ("copies", cancellation, "deliver_cancellation", told_at_once, story("view take", WHILE)),
+    ("copies", CancellationDelivery, "deliver", told_at_once, story("view take", WHILE)),
     ("twice", UpstreamPool, "send", never_ran, story("cash break")),
     ("lost", RequestRegistry, "respond", none_to_the_first, story("view take done")),
     ("descriptors", DescriptorBudget, "release", ignore, story("view take done")),
--- a/tests/dispatcher/test_list_notifications.py
+++ b/tests/dispatcher/test_list_notifications.py
@@ -99,7 +99,7 @@
         agent.changed, agent.silent, node = ("w0", "w1"), silent, player.node
         node.upstream.close_expired = lambda: None  # type: ignore[method-assign]
         listening = await asyncio.start_server(agent.serve, "127.0.0.1", 0)
-        node.settings.discovery, node.lifecycle.listen_address = (
+        node.settings.discovery, node.startup.listen_address = (
             listening.sockets[0].getsockname(),
             free_address(),
         )
--- a/tests/dispatcher/test_many_dispatchers.py
+++ b/tests/dispatcher/test_many_dispatchers.py
@@ -122,7 +122,7 @@
             assert len(player.asked) == place + 1
             player.asked[place].end(AttemptOutcome.NO_CONNECTION)
         await player.settle()
-        assert player.node.open_requests["a"].is_open, "denied while it could still be sent"
+        assert player.node.registry.open_requests["a"].is_open, "denied while it could still be sent"
 
     asyncio.run(run())
 
@@ -306,9 +306,7 @@
         here = player.node.endpoints.addresses["w0"]
         gone = [listed(name, EndpointState.GONE) for name in ("w0", "w1", "w2")]
         addresses = dict.fromkeys(["w0", "w1", "w2", "w9"], here)
-        player.node.follower.apply_endpoint_list(
-            discovery.DiscoveryUpdate(2, False, [*gone, listed("w9")], addresses)
-        )
+        player.node.endpoint_list.apply(discovery.DiscoveryUpdate(2, False, [*gone, listed("w9")], addresses))
         player.node.submit(submission_of("a"))
         assert (await player.sent("a")).worker == "w9"
         assert set(player.forgotten) >= {"w0", "w1", "w2"}, "their connections lead to another process now"
@@ -317,14 +315,14 @@
 
 
 def test_a_stop_while_discovery_says_nothing_finishes_what_was_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("locktide.dispatcher.lifecycle.ACCEPT_AFTER_STOP", 0.02)
+    monkeypatch.setattr("locktide.dispatcher.shutdown.ACCEPT_AFTER_STOP", 0.02)
 
     async def run() -> None:
         player, heard, stop = told_to_ask(), [], asyncio.Event()
         node = player.node
         node.upstream.close_expired = lambda: None  # type: ignore[method-assign]
         listening = await agent([], heard)
-        node.settings.discovery, node.lifecycle.listen_address = (
+        node.settings.discovery, node.startup.listen_address = (
             listening.sockets[0].getsockname(),
             free_address(),
         )
--- a/tests/dispatcher/test_requests.py
+++ b/tests/dispatcher/test_requests.py
@@ -16,8 +16,8 @@
     async def story(play: HandPlayed) -> None:
         denied, terminated = (play.node.submit(submission(name)) for name in "ab")
         assert denied is not None and terminated is not None
-        play.node.requests.reject(RejectRequest("a", 250_000))
-        play.node.requests.fail(FailRequest("b"))
+        play.node.failures.reject(RejectRequest("a", 250_000))
+        play.node.failures.fail(FailRequest("b"))
         assert denied.result().status == 503 and denied.result().headers == [("Retry-After", "0.250")]
         assert terminated.result().status == 502 and not terminated.result().headers
 
@@ -32,7 +32,7 @@
         status = (await asyncio.wait_for(answer, 5.0)).status
         assert status not in (200, 429, 503)
         await play.settle()
-        assert play.outcomes() == [AttemptOutcome.TIMED_OUT] and not play.node.open_requests
+        assert play.outcomes() == [AttemptOutcome.TIMED_OUT] and not play.node.registry.open_requests
         assert play.asked[-1].build().method == "DELETE"  # nobody waits for it any more
 
     run_story(story)
@@ -44,7 +44,7 @@
         before = play.node.clock.now()
         play.node.submit(submission("a", patience=patience))
         after = play.node.clock.now()
-        assert before <= play.node.open_requests["a"].deadline - patience + kept <= after
+        assert before <= play.node.registry.open_requests["a"].deadline - patience + kept <= after
 
     run_story(story)
 
@@ -52,10 +52,10 @@
 def test_during_shutdown_new_requests_end_before_the_shutdown_deadline() -> None:
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a", patience=9_000_000))
-        play.node.lifecycle.limit_new_requests(play.node.loop.time() + 2.0)
+        play.node.shutdown.limit_new_requests(play.node.loop.time() + 2.0)
         play.node.submit(submission("b", patience=9_000_000))
         play.node.submit(submission("c", patience=900_000))
-        left = [play.node.open_requests[name].deadline - play.node.clock.now() for name in "abc"]
+        left = [play.node.registry.open_requests[name].deadline - play.node.clock.now() for name in "abc"]
         assert left[0] > 8_000_000 and 1_000_000 < left[1] < 2_000_000 and left[2] < 900_000
 
     run_story(story)
@@ -63,11 +63,14 @@
 
 def test_during_shutdown_background_jobs_keep_their_deadline() -> None:
     async def story(play: HandPlayed) -> None:
-        play.node.lifecycle.limit_new_requests(play.node.loop.time() + 0.5)
+        play.node.shutdown.limit_new_requests(play.node.loop.time() + 0.5)
         kept = replace(submission("kept"), background=True)
         play.node.submit(kept)
         play.node.submit(submission("plain"))
-        left = {name: held.deadline - play.node.clock.now() for name, held in play.node.open_requests.items()}
+        left = {
+            name: held.deadline - play.node.clock.now()
+            for name, held in play.node.registry.open_requests.items()
+        }
         assert left["kept"] > 2_000_000 > left["plain"] and play.node.registry.open_count() == 1
 
     run_story(story)
@@ -81,6 +84,6 @@
         shot.reply(202)
         play.call("a", shot.worker, "done")
         await play.settle()
-        assert not play.node.open_requests and play.node.submit(submission("a")) is None
+        assert not play.node.registry.open_requests and play.node.submit(submission("a")) is None
 
     run_story(story)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -362,8 +362,8 @@
     async def ordered(self, name: str) -> Asked:
         """The dispatch of that submission, with no byte written."""
         await self.settle()
-        place = list(self.node.open_requests).index(name)
-        assert self.node.open_requests[name].attempts
+        place = list(self.node.registry.open_requests).index(name)
+        assert self.node.registry.open_requests[name].attempts
         return self.asked[place]
 
     async def sent(self, name: str) -> Asked:
@@ -379,7 +379,7 @@
 
     def list(self, worker: str, state: str, started_at: int = 0) -> None:
         entry = listed(worker, state, started_at)
-        self.node.follower.apply_endpoint_list(
+        self.node.endpoint_list.apply(
             discovery.DiscoveryUpdate(2, False, [entry], {worker: ("127.0.0.1", 9)})
         )
 
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -58,10 +58,10 @@
         others = [list_entry("w1"), list_entry("w3"), list_entry("w4"), list_entry("w2", state="leaving")]
         update = discovery.parse(list_body(*faulty, *others))
         assert update.faults[0].startswith(message)
-        play.node.follower.apply_endpoint_list(update)
+        play.node.endpoint_list.apply(update)
         accepting = [number for number in range(5) if play.node.endpoints.accepts_requests(f"w{number}")]
         assert accepting == [1, 3, 4]
-        play.node.follower.apply_endpoint_list(discovery.parse(list_body(list_entry("w0"), version=4)))
+        play.node.endpoint_list.apply(discovery.parse(list_body(list_entry("w0"), version=4)))
         assert play.node.endpoints.accepts_requests("w0")  # once it is listed properly
 
     asyncio.run(run())
@@ -91,7 +91,7 @@
 
     async def run() -> None:
         play = HandPlayed()
-        play.node.follower.apply_endpoint_list(update)
+        play.node.endpoint_list.apply(update)
         assert "new" not in play.node.endpoints.entries
 
     asyncio.run(run())
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -274,8 +274,8 @@
                     self.fault(f"lost: {asked.id} was sent on and has no answer")
             elif got == 1 and not asked.peer.buffer.partition(b"\r\n\r\n")[1]:
                 self.fault(f"half: {asked.id} has a part of its answer")
-        if node.open_requests or node.tasks or node.listener.tasks:
-            self.fault(f"left: {list(node.open_requests)}, {len(node.tasks)} tasks")
+        if node.registry.open_requests or node.tasks or node.listener.tasks:
+            self.fault(f"left: {list(node.registry.open_requests)}, {len(node.tasks)} tasks")
         for name, budget in (("clients", node.listener.descriptors), ("workers", node.upstream.descriptors)):
             rest = 0 if name == "clients" else sum(map(len, node.upstream.idle.values()))
             if budget.used != rest:
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -107,7 +107,7 @@
         if not late:
             answer.set()
             await asyncio.sleep(0.05)
-        node.follower.apply_endpoint_list(
+        node.endpoint_list.apply(
             discovery.DiscoveryUpdate(2, False, [listed("w0", EndpointState.DRAINING)], {"w0": here})
         )
         begun = loop.time()
--- a/tests/simulation/test_checker.py
+++ b/tests/simulation/test_checker.py
@@ -11,7 +11,7 @@
 from locktide.dispatcher import dispatcher as node_module
 from locktide.dispatcher import endpoint_directory, records
 from locktide.dispatcher.registry import RequestRegistry
-from locktide.dispatcher.requests import RequestService
+from locktide.dispatcher.request_timeouts import RequestTimeouts
 from locktide.scheduler.commands import FailRequest, RejectRequest, SetTimer, StartAttempt
 from locktide.scheduler.config import SchedulerConfig
 from locktide.scheduler.events import (
@@ -227,7 +227,7 @@
 ) -> None:
     monkeypatch.setattr(node_module, "Scheduler", decisions)
     if decisions is Silent:
-        monkeypatch.setattr(RequestService, "fail_overdue", lambda self, request: None)
+        monkeypatch.setattr(RequestTimeouts, "fail_overdue", lambda self, request: None)
     if decisions is Deaf:
         monkeypatch.setattr(
             endpoint_directory.EndpointDirectory, "accepts_requests", lambda self, worker: True
@@ -274,7 +274,7 @@
         loop.call_at(deadline + 0.3, answer, self, submission, given)
 
     monkeypatch.setattr(RequestRegistry, "respond", late)
-    monkeypatch.setattr(RequestService, "time_out", lambda self, held: None)
+    monkeypatch.setattr(RequestTimeouts, "time_out", lambda self, held: None)
     told = play(monkeypatch, Plain)
     assert broken(told) == {"late"} and set(told["answers"]) == {"late"}
 
--- a/tests/transport/test_upstream_pool.py
+++ b/tests/transport/test_upstream_pool.py
@@ -12,12 +12,13 @@
 from locktide.protocol.client_connection import UpstreamRequest, UpstreamResponse
 from locktide.scheduler.types import AttemptOutcome
 from locktide.transport.descriptor_budget import DescriptorBudget
-from locktide.transport.upstream_pool import TransportFailure, UpstreamPool
+from locktide.transport.interfaces import SendResult, TransportFailure
+from locktide.transport.upstream_pool import UpstreamPool
 
 
 async def send_repeatedly(
     script: Callable[..., Awaitable[None]], times: int = 1, body: bytes = b"x" * 100
-) -> tuple[list[UpstreamResponse | AttemptOutcome | TransportFailure], UpstreamPool]:
+) -> tuple[list[SendResult], UpstreamPool]:
     """Sends requests to a scripted worker, one after the other."""
     listening = await asyncio.start_server(script, "127.0.0.1", 0)
     address = listening.sockets[0].getsockname()
