--- a/locktide/durable/errors.py
+++ b/locktide/durable/errors.py
@@ -1,7 +1,9 @@
-"""Errors of durable jobs."""
+"""Errors of durable jobs; each names the directory, file or record at fault."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 from locktide.errors import LocktideError
 
 
@@ -9,7 +11,7 @@
     """Base of the errors of durable jobs.
 
     Attributes:
-        path: the directory or file at fault; empty where the storage has none.
+        path: The directory or file at fault; empty where the storage has none.
     """
 
     def __init__(self, message: str, path: str = "") -> None:
@@ -34,8 +36,37 @@
 
 
 class DamagedLogError(LogOpenError):
-    """Records that were written whole have changed on the disk."""
+    """Records that were written whole have changed on the disk.
+
+    Attributes:
+        faults: Segment, byte and reason of each fault.
+    """
+
+    def __init__(self, faults: Sequence[str]) -> None:
+        super().__init__("; ".join(faults))
+        self.faults = list(faults)
 
 
 class LogWriteError(DurableError):
-    """The disk is full or broken: the record was not written."""
+    """The disk is full or broken: a record was not written.
+
+    Attributes:
+        path: The segment that was written to.
+        reason: Why it could not be written.
+    """
+
+    def __init__(self, reason: str, path: str) -> None:
+        super().__init__(f"{path}: {reason}", path)
+        self.reason = reason
+
+
+class RecordSizeError(DurableError):
+    """A record is empty, or too large for its reader.
+
+    Attributes:
+        size: Bytes of the record.
+    """
+
+    def __init__(self, size: int) -> None:
+        super().__init__(f"a record of {size} bytes")
+        self.size = size
--- a/locktide/durable/log/crash_point.py
+++ b/locktide/durable/log/crash_point.py
@@ -1,4 +1,4 @@
-"""Points at which a test may let the process die."""
+"""Points at which a simulation may kill the process."""
 
 from __future__ import annotations
 
@@ -19,4 +19,4 @@
 
 
 def ignore_crash_point(_point: CrashPoint) -> None:
-    """Goes on: outside simulations no process dies on purpose."""
+    """Go on: outside simulations no process dies on purpose."""
--- a/locktide/durable/log/framing.py
+++ b/locktide/durable/log/framing.py
@@ -1,8 +1,8 @@
 """How records are framed in a segment: a header, then length, checksum and payload of each record.
 
-CRC-32 finds every burst of up to 32 flipped bits, and misses one in four milliards of other damage; it is in
-the standard library. Guards against what a disk and a crash can leave: a last record that was not wholly
-written, sectors that were never written and read as zeros, and bytes that have changed.
+Framing finds what a disk and a crash can leave behind: a last record that was not wholly written, sectors
+that were never written and read as zeros, and bytes that have changed. CRC-32 finds every burst of up to 32
+flipped bits, and misses one in four thousand million of other damage; it is in the standard library.
 """
 
 from __future__ import annotations
@@ -13,15 +13,23 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from locktide.durable.errors import ForeignFileError, NewerFormatError
+from locktide.durable.errors import ForeignFileError, NewerFormatError, RecordSizeError
 
+#: First bytes of each segment.
 MAGIC = b"LKTDJOBS"
+#: Version of the format; a program refuses a directory of a later one.
 VERSION = 1
-HEADER = struct.Struct("<8sHxxI")  # magic, format version, number of the segment
-FRAME = struct.Struct("<II")  # length and checksum of the payload
-MAX_PAYLOAD = 16 << 20  # bytes: far over the largest body with its result
-MIN_SEARCHED_PAYLOAD = 8  # bytes: a shorter record is not looked for inside a damaged segment
-SECTOR = 512  # bytes that a disk writes whole; the rest of an unfinished write reads as zeros
+#: Magic, format version, number of the segment.
+HEADER = struct.Struct("<8sHxxI")
+#: Length and checksum of the payload.
+FRAME = struct.Struct("<II")
+#: Bytes of the largest payload, far over the largest body with its result: a larger length is damage.
+MAX_PAYLOAD = 16 << 20
+#: Bytes of the shortest payload that is looked for behind a fault. Fewer match a checksum by chance too
+#: easily.
+MIN_SEARCHED_PAYLOAD = 8
+#: Bytes that a disk writes whole; the sectors of an unfinished write that were not written read as zeros.
+SECTOR = 512
 
 
 class FaultKind(StrEnum):
@@ -31,9 +39,9 @@
     DAMAGED = "damaged"  # what had been written whole has changed
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class FramingFault:
-    """Where a segment stops holding records, and why."""
+    """Where a segment stops holding records, in bytes from its start, and why."""
 
     kind: FaultKind
     offset: int
@@ -42,26 +50,26 @@
 
 @dataclass(frozen=True, slots=True)
 class FramedPayload:
-    """A payload whose checksum fits, with the offset of its frame in the segment."""
+    """A payload whose checksum fits, with the offset in bytes of its frame in the segment."""
 
     offset: int
     payload: bytes
 
 
 def encode_header(segment_number: int) -> bytes:
-    """Returns the first bytes of a segment."""
+    """Return the first bytes of a segment."""
     return HEADER.pack(MAGIC, VERSION, segment_number)
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Frames a payload; raises ValueError for a size that no reader would take."""
+    """Frame a payload; raise RecordSizeError for a size that no reader accepts."""
     if not 0 < len(payload) <= MAX_PAYLOAD:
-        raise ValueError(f"a record of {len(payload)} bytes")
+        raise RecordSizeError(len(payload))
     return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def check_header(data: bytes, name: str) -> int:
-    """Returns the segment's number; raises NewerFormatError or ForeignFileError."""
+    """Return the segment's number; raise NewerFormatError or ForeignFileError."""
     if len(data) < HEADER.size:
         raise ForeignFileError(f"{name}: {len(data)} bytes, no header", name)
     magic, version, segment_number = HEADER.unpack_from(data)
@@ -73,7 +81,7 @@
 
 
 def read_frames(data: bytes) -> Iterator[FramedPayload | FramingFault]:
-    """Yields each payload of a segment, and at the end the fault that stops the reading, if there is one."""
+    """Yield each payload of a segment, and at the end the fault that stops the reading, if there is one."""
     offset = HEADER.size
     while offset < len(data):
         payload_start = offset + FRAME.size
@@ -91,16 +99,16 @@
 
 
 def classify_fault(data: bytes, offset: int, length: int, end: int) -> FramingFault:
-    """Tells a write that a crash cut short from one that was whole and has changed.
+    """Tell a write that a crash cut short from one that was whole and has changed.
 
     Torn is only what a crash can leave behind: the file ends within the record, or is zeros from a sector's
     edge to its end. Whatever else is wrong was once read as good, and must not be dropped silently.
     """
     if not any(data[offset:]):
         return FramingFault(FaultKind.TORN, offset, "nothing but zeros")
-    zeros = len(data) - len(data.rstrip(b"\0"))
-    sector_edge = -(-(len(data) - zeros) // SECTOR) * SECTOR
-    if zeros and sector_edge < len(data) and sector_edge < end:
+    written_size = len(data.rstrip(b"\0"))
+    first_zero_sector = -(-written_size // SECTOR) * SECTOR  # rounded up to the edge of a sector
+    if first_zero_sector < len(data) and first_zero_sector < end:
         return FramingFault(FaultKind.TORN, offset, "a record that ends in sectors of zeros")
     if 0 < length <= MAX_PAYLOAD and end > len(data) and not has_record_after(data, offset):
         reason = f"{len(data) - offset} bytes of a record of {end - offset}"
--- a/locktide/durable/log/records.py
+++ b/locktide/durable/log/records.py
@@ -16,19 +16,41 @@
 
 
 class WriterStarted(Record, tag="Began"):
-    """A dispatcher has taken over the log; boot and uptime tell elapsed time even if its clock is set."""
+    """A dispatcher has opened the log.
+
+    Attributes:
+        recorded_at: The dispatcher's clock, in Unix microseconds.
+        boot_id: Names the machine's run since its last boot.
+        uptime: Microseconds since that boot, at the same moment: the time elapsed is known by it although
+            the clock
+            may be set.
+    """
 
     recorded_at: int
     boot_id: str
-    uptime: int  # microseconds since the machine's start
+    uptime: int
 
 
 class JobAccepted(Record, tag="Accepted"):
-    """A job was accepted from its client."""
+    """A job was accepted from its client.
+
+    Attributes:
+        job_id: The id that its client gave it.
+        key: The idempotency key; empty for none.
+        digest: SHA-256 of method, target and body, in hexadecimal.
+        service_class: Name of its service class.
+        method: HTTP method, forwarded to the worker.
+        target: HTTP request target, forwarded to the worker.
+        forwarded_headers: Header fields that are forwarded to the worker.
+        body: The payload.
+        recorded_at: When it was accepted.
+        deadline: When it is given up.
+        width: How many slots of a worker it takes.
+    """
 
     job_id: str
-    key: str  # the idempotency key; empty for none
-    digest: str  # of method, target and body
+    key: str
+    digest: str
     service_class: str
     method: str
     target: str
@@ -40,7 +62,7 @@
 
 
 class LeaseGranted(Record, tag="Leased"):
-    """A worker has a lease; written before the attempt's first byte: from here on it may have run."""
+    """A worker has a lease; written before the attempt's first byte: from here on the job may have run."""
 
     job_id: str
     fence: int
@@ -66,22 +88,22 @@
     job_id: str
     status: int
     body: bytes
-    retry_after: int  # microseconds; 0 for none
+    retry_after: int  # advice to the client, in microseconds; 0 for none
     recorded_at: int
 
 
 class LateReport(Record, tag="Late"):
-    """What a worker reported under a lease that had ended: kept for operators, without effect."""
+    """What a worker reported under a lease that had ended: stored for operators, without effect."""
 
     job_id: str
     fence: int
     worker: str
-    state: str
+    state: str  # as it is spelled in the callback
     recorded_at: int
 
 
 class JobSnapshot(Record, tag="Kept"):
-    """All that was recorded of a job before, written by compaction."""
+    """Everything that was recorded of a job before, written by compaction."""
 
     accepted: JobAccepted
     leases: list[LeaseGranted]
@@ -111,5 +133,5 @@
 
 
 def decode(payload: bytes) -> AnyRecord:
-    """Decodes one record; raises msgspec.DecodeError."""
+    """Decode one record; raise msgspec.DecodeError."""
     return _decoder.decode(payload)
--- a/locktide/durable/log/write_ahead_log.py
+++ b/locktide/durable/log/write_ahead_log.py
@@ -1,4 +1,28 @@
-"""The write-ahead log of jobs: records appended to segments by group commit, compacted by snapshots."""
+"""The write-ahead log of jobs: records appended to segments by group commit, compacted by snapshots.
+
+Why a record whose future is done survives any crash:
+
+1. Records are framed with length and checksum, and written in the order of `append`, in one segment at a
+time. 2. The futures of a batch are set only after a sync that began when the whole batch had been appended.
+3. A batch that could not be appended as a whole is cut off again, so that the segment ends with whole
+records. Where
+   that fails, or a sync fails, nothing is written any more: the log has failed until the dispatcher is
+   restarted.
+4. A crash can therefore leave only the last segment with an unfinished end, and no future of that end is
+done. It is
+   cut off at the next start, which then begins a segment of its own. Any other fault is damage to records
+   that were acknowledged, and the start is refused.
+5. Older segments are removed only after a complete snapshot of their jobs is on the disk (`compaction`).
+
+Held by `tests/durable/log/test_write_ahead_log.py`: `test_acknowledged_records_survive_a_crash` (1, 2 and 4),
+`test_full_disk_rejects_a_record_and_loses_no_other`, `test_no_write_succeeds_after_a_failed_sync` (3),
+`test_damaged_log_is_refused_unless_damage_is_skipped` (4),
+`test_compaction_keeps_open_jobs_and_drops_finished_ones` (5), and by `tests/durable/test_crashes.py` with
+whole dispatchers killed at each crash point.
+
+The table of jobs is changed when a record is appended, before it is on the disk. Whoever responds to a
+client on the strength of the table waits for the record's future first (`durable_state`).
+"""
 
 from __future__ import annotations
 
@@ -11,206 +35,193 @@
 from locktide.durable.errors import DamagedLogError, LogWriteError
 from locktide.durable.jobs import JobTable
 from locktide.durable.log import framing, records
+from locktide.durable.log.compaction import Compactor
 from locktide.durable.log.crash_point import CrashPoint, ignore_crash_point
-from locktide.durable.log.reader import LogContents, list_segments, read_log, segment_name, segment_number
+from locktide.durable.log.reader import LogContents, list_segments, read_log, segment_number
+from locktide.durable.log.segment_writer import SegmentWriter
 
-# Records of a snapshot that are written before other work has its turn again: about a millisecond of it.
-SNAPSHOT_BATCH = 100
 
-
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class PendingWrite:
     """A framed record that waits for its sync."""
 
     frame: bytes
     done: asyncio.Future[None]
 
+    def fail(self, error: LogWriteError) -> None:
+        """Tell whoever waits that the record is not on the disk."""
+        if not self.done.done():
+            self.done.set_exception(LogWriteError(error.reason, error.path))
+
+    def succeed(self) -> None:
+        """Tell whoever waits that the record is on the disk."""
+        if not self.done.done():
+            self.done.set_result(None)
+
 
 class WriteAheadLog:
-    """Owns the segments of one directory, and the table of jobs that its records make."""
+    """Owns the segments of one directory, and the table of jobs that its records make.
+
+    Attributes:
+        table: The jobs.
+        contents: What was found in the directory when the log was opened.
+        sync_count: How many syncs have succeeded.
+        reach_crash_point: Called at each crash point; a simulation kills the dispatcher there.
+    """
 
     def __init__(self, storage: Storage, segment_bytes: int, group_commit: bool = True) -> None:
-        self.storage = storage
-        self.segment_bytes = segment_bytes  # size after which the log is compacted
-        self.group_commit = group_commit
+        """Prepare a log, which is still to be opened.
+
+        Args:
+            storage: The directory.
+            segment_bytes: Size in bytes after which the log is compacted.
+            group_commit: Whether records that wait together share a sync; otherwise each has one of its own.
+        """
         self.table = JobTable()
-        self.contents = LogContents()  # as found when it was opened
-        self.segment = ""  # file name of the segment that is appended to
-        self.segment_size = 0
-        self.pending: list[PendingWrite] = []
-        self.writing: asyncio.Task[None] | None = None
-        self.compacting: asyncio.Task[None] | None = None
-        self.failure = ""  # why nothing can be written any more
+        self.contents = LogContents()
         self.sync_count = 0
-        self.written_count = 0
         self.reach_crash_point: Callable[[CrashPoint], None] = ignore_crash_point
+        self._storage = storage
+        self._segment_bytes = segment_bytes
+        self._group_commit = group_commit
+        self._segment = SegmentWriter(storage)
+        self._pending: list[PendingWrite] = []
+        self._writing: asyncio.Task[None] | None = None
+        self._compacting: asyncio.Task[None] | None = None
+
+    @property
+    def failure(self) -> str:
+        """Why nothing can be written any more; empty while it can."""
+        return self._segment.failure
 
     # --- opening
 
     def open(self, skip_damaged: bool = False) -> None:
-        """Locks the directory, reads it and begins a new segment.
+        """Lock the directory, read it and begin a new segment.
 
         Raises LogOpenError or OSError, and has changed nothing then.
         """
-        self.storage.acquire_lock()
+        self._storage.acquire_lock()
         try:
-            self.contents = read_log(self.storage, self.table)
+            self.contents = read_log(self._storage, self.table)
             if self.contents.damaged and not skip_damaged:
-                raise DamagedLogError("; ".join(self.contents.damaged))
+                raise DamagedLogError(self.contents.damaged)
         except BaseException:
-            self.storage.release_lock()
+            self._storage.release_lock()
             raise
         last = max(self.contents.valid_sizes, default="")
         if self.contents.torn and last:
             self._cut_torn_end(last)
         # A segment of our own, so that what an older process wrote is never written to again.
-        self._begin_segment(segment_number(last) + 1 if last else 1)
+        self._segment.begin(segment_number(last) + 1 if last else 1)
 
     def _cut_torn_end(self, name: str) -> None:
         valid_size = self.contents.valid_sizes[name]
         if valid_size:
-            self.storage.truncate(name, valid_size)
+            self._storage.truncate(name, valid_size)
         else:
-            self.storage.remove(name)
-
-    def _begin_segment(self, number: int) -> None:
-        name = segment_name(number)
-        self.storage.create(name)
-        self.storage.append(name, framing.encode_header(number))
-        self.segment = name
-        self.segment_size = framing.HEADER.size
+            self._storage.remove(name)
 
     # --- writing
 
     def append(self, record: records.AnyRecord) -> asyncio.Future[None]:
-        """Applies a record and writes it after all that was appended before; done once it is on the disk.
+        """Apply a record, and write it after everything that was appended before.
 
-        The future raises LogWriteError; the caller must not go on as if the record were stored.
+        Returns:
+            A future that is done once the record is on the disk. It raises LogWriteError; the caller must
+            not go on then as if the record were stored.
         """
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self.failure:
-            done.set_exception(LogWriteError(self.failure, self.segment))
+            done.set_exception(LogWriteError(self.failure, self._segment.name))
             return done
         self.table.apply(record)
-        self.pending.append(PendingWrite(framing.encode_frame(records.encode(record)), done))
-        if self.writing is None:
-            self.writing = asyncio.create_task(self._write_pending())
+        frame = framing.encode_frame(records.encode(record))
+        self._pending.append(PendingWrite(frame, done))
+        if self._writing is None:
+            self._writing = asyncio.create_task(self._write_pending())
         return done
 
     async def _write_pending(self) -> None:
-        """Writes one batch for each sync: what is appended meanwhile makes the next batch."""
+        """Write one batch for each sync: what is appended meanwhile makes the next batch."""
         try:
-            while self.pending:
-                count = len(self.pending) if self.group_commit else 1
-                batch = self.pending[:count]
-                self.pending = self.pending[count:]
-                await self._write_batch(batch)
-                is_full = self.segment_size > self.segment_bytes
-                if is_full and self.compacting is None and not self.failure:
-                    self._rotate()
+            while self._pending:
+                await self._write_batch(self._next_batch())
+                if self._is_compaction_due():
+                    self._begin_compaction()
         finally:
-            self.writing = None
+            self._writing = None
 
-    def _rotate(self) -> None:
-        """Begins a new segment between two batches, and the compaction of the older ones."""
-        older = list_segments(self.storage)
-        try:
-            self._begin_segment(segment_number(self.segment) + 1)
-        except OSError:
-            return  # no space for a new segment: the old one is still appended to
-        self.compacting = asyncio.create_task(self._compact(older))
+    def _next_batch(self) -> list[PendingWrite]:
+        size = len(self._pending) if self._group_commit else 1
+        batch = self._pending[:size]
+        self._pending = self._pending[size:]
+        return batch
 
-    async def _write_batch(self, batch: list[PendingWrite]) -> None:
-        data = b"".join(write.frame for write in batch)
-        segment = self.segment
+    async def _write_batch(self, batch: Sequence[PendingWrite]) -> None:
+        """Append and sync a batch; its writes are told the result."""
         self.reach_crash_point(CrashPoint.BEFORE_WRITE)
         try:
-            self.storage.append(segment, data)
-        except OSError as error:
-            self._undo_partial_write(str(error))
-            self._fail(batch, str(error))
-            return
-        self.segment_size += len(data)
-        self.reach_crash_point(CrashPoint.BETWEEN_WRITE_AND_SYNC)
-        try:
-            await self.storage.sync(segment)
-        except OSError as error:
-            # What a failed sync leaves on the disk is not known, and the next one may report success
-            # (Rebello et al., "Can applications recover from fsync failures?", USENIX ATC 2020).
-            self.failure = f"sync failed: {error}"
-            self._fail(batch, self.failure)
-            self._fail_pending(self.failure)
+            self._segment.append(b"".join(write.frame for write in batch))
+            self.reach_crash_point(CrashPoint.BETWEEN_WRITE_AND_SYNC)
+            await self._segment.sync()
+        except LogWriteError as error:
+            self._fail(batch, error)
             return
         self.reach_crash_point(CrashPoint.AFTER_SYNC)
         self.sync_count += 1
-        self.written_count += len(batch)
         for write in batch:
-            if not write.done.done():
-                write.done.set_result(None)
-
-    def _undo_partial_write(self, reason: str) -> None:
-        """Removes what was written of a batch that could not be written whole."""
-        try:
-            self.storage.truncate(self.segment, self.segment_size)
-        except OSError as error:
-            self.failure = f"{reason}; and it could not be taken back: {error}"
+            write.succeed()
 
-    def _fail(self, batch: Sequence[PendingWrite], reason: str) -> None:
+    def _fail(self, batch: Sequence[PendingWrite], error: LogWriteError) -> None:
         for write in batch:
-            if not write.done.done():
-                write.done.set_exception(LogWriteError(reason, self.segment))
+            write.fail(error)
+        if self.failure:
+            self._fail_pending(self.failure)
 
     def _fail_pending(self, reason: str) -> None:
-        self._fail(self.pending, reason)
-        self.pending = []
+        error = LogWriteError(reason, self._segment.name)
+        for write in self._pending:
+            write.fail(error)
+        self._pending = []
 
     async def wait_until_idle(self) -> None:
-        """Returns once nothing is being written or compacted."""
-        while self.writing is not None or self.compacting is not None:
-            task = self.writing or self.compacting
-            assert task is not None
+        """Return once nothing is being written or compacted."""
+        while (task := self._writing or self._compacting) is not None:
             await asyncio.wait([task])
 
+    def close(self) -> None:
+        """Stop writing, fail what was not written and release the directory."""
+        for task in (self._writing, self._compacting):
+            if task is not None:
+                task.cancel()
+        self._fail_pending("closed")
+        self._storage.release_lock()
+
     # --- compaction
 
-    async def _compact(self, older: list[str]) -> None:
-        """Writes a snapshot of the jobs into the new segment, and then removes the older segments.
+    def _is_compaction_due(self) -> bool:
+        is_full = self._segment.size > self._segment_bytes
+        return is_full and self._compacting is None and not self.failure
 
-        What is appended meanwhile goes into the new segment too. The snapshot of a job holds all that was
-        recorded of it before, so it does not matter whether such a record is before or after it.
-        """
+    def _begin_compaction(self) -> None:
+        """Begin a new segment between two batches, and the compaction of the older ones."""
+        older_segments = list_segments(self._storage)
         try:
-            await self._write_snapshot()
-            self.reach_crash_point(CrashPoint.BEFORE_OLD_SEGMENTS_REMOVED)
-            for name in older:
-                self.storage.remove(name)
-            self.reach_crash_point(CrashPoint.AFTER_OLD_SEGMENTS_REMOVED)
-        except (LogWriteError, OSError):
-            pass  # the older segments are kept, and are read with the new one
-        finally:
-            self.compacting = None
-
-    async def _write_snapshot(self) -> None:
-        job_ids = list(self.table.jobs)
-        if self.table.writer is not None:
-            await self.append(self.table.writer)
-        for start in range(0, len(job_ids), SNAPSHOT_BATCH):
-            batch = job_ids[start : start + SNAPSHOT_BATCH]
-            jobs = [self.table.jobs[job_id] for job_id in batch if job_id in self.table.jobs]
-            if jobs:
-                await asyncio.gather(*(self.append(job.snapshot()) for job in jobs))
-        await self.append(records.SnapshotComplete(len(job_ids)))
+            self._segment.begin_next()
+        except OSError:
+            return  # no space for a new segment: the old one is still appended to
+        self._compacting = asyncio.create_task(self._compact(older_segments))
 
-    def close(self) -> None:
-        """Stops writing, fails what was not written and releases the directory."""
-        for task in (self.writing, self.compacting):
-            if task is not None:
-                task.cancel()
-        self._fail_pending("closed")
-        self.storage.release_lock()
+    async def _compact(self, older_segments: Sequence[str]) -> None:
+        compactor = Compactor(self._storage, self.table, self.append, self.reach_crash_point)
+        try:
+            await compactor.compact(older_segments)
+        finally:
+            self._compacting = None
 
 
 async def wait_or_lose(write: asyncio.Future[None]) -> None:
-    """Waits for a record that may be lost: without it recovery assumes more has run, never less."""
+    """Wait for a record that may be lost: without it recovery assumes more has run, never less."""
     with suppress(LogWriteError):
         await write
