--- a/locktide/durable/acceptance.py
+++ b/locktide/durable/acceptance.py
@@ -1,4 +1,9 @@
-"""Accepts durable jobs: a job is on the disk before it is acknowledged or dispatched."""
+"""Accepts durable jobs: a job is on the disk before it is acknowledged or dispatched.
+
+Where it cannot be written, the client gets a 503 and the job was never accepted. A request with the
+idempotency key of an earlier job is no new job: its client waits for that one, or gets a 422 if its content
+differs.
+"""
 
 from __future__ import annotations
 
@@ -12,40 +17,52 @@
 from locktide.durable.jobs import Job
 from locktide.durable.log.records import JobAccepted
 from locktide.durable.preference import Preference, read_preference
-from locktide.durable.responses import denied_response, id_conflict_response, key_conflict_response
+from locktide.durable.responses import id_conflict_response, key_conflict_response, rejected_response
 from locktide.durable.waiters import JobWaiters
 from locktide.protocol import names
 from locktide.protocol.messages import SubmitRequest
 from locktide.transport.client_connection import Response
 
+#: Microseconds that a job is given at least, whose deadline passed while the disk was waited for: the
+#: dispatcher ends it like any other at its deadline.
+MIN_TIMEOUT = 1
+
 
 @dataclass(frozen=True, slots=True)
 class JobRequest:
-    """A request for a durable job, with what its headers say."""
+    """A request for a durable job, with what its headers say.
+
+    Attributes:
+        request: The request as it came.
+        preference: Whether and how long its client waits.
+        idempotency_key: Its idempotency key; empty for none.
+        digest: SHA-256 of method, target and body, in hexadecimal.
+    """
 
     request: SubmitRequest
     preference: Preference
-    idempotency_key: str  # empty for none
-    digest: str  # of method, target and body
+    idempotency_key: str
+    digest: str
 
     @classmethod
     def read(cls, request: SubmitRequest) -> JobRequest:
-        """Reads the headers of a request."""
+        """Read the headers of a request."""
         headers = {
             name.decode().lower(): value.decode("latin-1") for name, value in request.forwarded_headers
         }
         content = b"\0".join((request.method.encode(), request.target.encode(), request.body))
         return cls(
-            request,
-            read_preference(headers),
-            headers.get(names.IDEMPOTENCY_KEY.lower(), ""),
-            hashlib.sha256(content).hexdigest(),
+            request=request,
+            preference=read_preference(headers),
+            idempotency_key=headers.get(names.IDEMPOTENCY_KEY.lower(), ""),
+            digest=hashlib.sha256(content).hexdigest(),
         )
 
     def accepted_record(self, now: int, timeout: int) -> JobAccepted:
-        """Returns the record that accepts this job."""
+        """Return the record that accepts this job; both times are in microseconds."""
         request = self.request
         prefer = names.PREFER.lower().encode()
+        forwarded = [(name, value) for name, value in request.forwarded_headers if name.lower() != prefer]
         return JobAccepted(
             job_id=request.id,
             key=self.idempotency_key,
@@ -53,9 +70,7 @@
             service_class=request.service_class,
             method=request.method,
             target=request.target,
-            forwarded_headers=[
-                (name, value) for name, value in request.forwarded_headers if name.lower() != prefer
-            ],
+            forwarded_headers=forwarded,
             body=request.body,
             recorded_at=now,
             deadline=now + timeout,
@@ -77,7 +92,7 @@
         self.log = context.log
 
     def submit(self, request: SubmitRequest) -> asyncio.Future[Response] | None:
-        """Returns the response to come; None where the request's id is in use or was."""
+        """Return the response to come; None where the request's id is in use or was."""
         job_request = JobRequest.read(request)
         response: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
         existing = self._find_existing(job_request)
@@ -87,7 +102,7 @@
         if request.id in self.state.table.jobs or self.dispatcher.is_id_in_use(request.id):
             return None
         if self.state.table.open_count >= self.config.max_open_jobs or self.write_ahead_log.failure:
-            response.set_result(denied_response("no more jobs are taken now"))
+            response.set_result(rejected_response("no more jobs are taken now"))
             return response
         self._accept(job_request, response)
         return response
@@ -108,31 +123,40 @@
 
     def _accept(self, job_request: JobRequest, response: asyncio.Future[Response]) -> None:
         request = job_request.request
-        respond_async = job_request.preference.respond_async
-        timeout = max(request.timeout, self.config.detached_timeout) if respond_async else request.timeout
+        timeout = request.timeout
+        if job_request.preference.respond_async:
+            timeout = max(timeout, self.config.detached_timeout)
         record = job_request.accepted_record(self.dispatcher.now(), timeout)
         write = self.write_ahead_log.append(record)
         self.state.accepting[request.id] = write
         self.waiters.add(request.id, request, job_request.preference, response)
-        self.tasks.spawn(self._dispatch_once_written(record, write, timeout, respond_async))
+        self.tasks.spawn(self._dispatch_once_written(record, write, job_request.preference.respond_async))
 
     async def _dispatch_once_written(
-        self, record: JobAccepted, write: asyncio.Future[None], time_limit: int, background: bool
+        self, record: JobAccepted, write: asyncio.Future[None], is_background: bool
     ) -> None:
-        """Dispatches a job once it is on the disk; where it cannot be written it was never accepted."""
+        """Dispatch a job once it is on the disk."""
         try:
             await write
         except LogWriteError as error:
-            self.state.table.drop(record.job_id)
-            self.log.emit(f"jobs: not accepted: {error}", event="job_write_failed", error=str(error))
-            self.waiters.resolve(record.job_id, denied_response("it could not be written down"))
+            self._undo_acceptance(record, error)
             return
         finally:
             self.state.accepting.pop(record.job_id, None)
         # The deadline comes nearer while the disk is waited for.
-        remaining = time_limit - (self.dispatcher.now() - record.recorded_at)
-        response = self.dispatcher.submit(record, max(1, remaining), background)
+        remaining = max(MIN_TIMEOUT, record.deadline - self.dispatcher.now())
+        response = self.dispatcher.submit(record, remaining, is_background)
         if response is None:
             self.completion.finish(record.job_id, id_conflict_response())
             return
         self.completion.finish_with(record.job_id, response)
+
+    def _undo_acceptance(self, record: JobAccepted, error: LogWriteError) -> None:
+        self.state.table.drop(record.job_id)
+        self.log.emit(
+            f"job {record.job_id}: not accepted: {error}",
+            event="job_write_failed",
+            job=record.job_id,
+            error=str(error),
+        )
+        self.waiters.resolve(record.job_id, rejected_response("it could not be written down"))
--- a/locktide/durable/background_tasks.py
+++ b/locktide/durable/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside the requests, and are held until they end."""
+"""Tasks that run beside the requests."""
 
 from __future__ import annotations
 
@@ -8,20 +8,24 @@
 
 
 class BackgroundTasks:
-    """Holds its tasks, so that none is collected while it runs."""
+    """Refers to its tasks until they end, as the event loop does not keep a running task alive.
+
+    Attributes:
+        tasks: The tasks that run, in the order of their start.
+    """
 
     def __init__(self) -> None:
-        self.tasks: dict[asyncio.Task[None], None] = {}  # in the order of their start
+        self.tasks: dict[asyncio.Task[None], None] = {}
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Starts a task."""
+        """Start a task."""
         task = asyncio.create_task(work)
         self.tasks[task] = None
         task.add_done_callback(lambda done: self.tasks.pop(done, None))
         return task
 
     def cancel_all_but(self, kept: Collection[asyncio.Task[None]]) -> None:
-        """Cancels all tasks that are not in `kept`."""
+        """Cancel all tasks that are not in `kept`."""
         for task in list(self.tasks):
             if task not in kept:
                 task.cancel()
--- a/locktide/durable/bootstrap.py
+++ b/locktide/durable/bootstrap.py
@@ -13,25 +13,33 @@
 from locktide.durable.leases import LeaseConfig
 from locktide.durable.log.write_ahead_log import WriteAheadLog
 from locktide.durable.recovery import ClockReading
+from locktide.durable.units import MICROSECONDS_PER_SECOND
 from locktide.transport.log import Log
 
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
-MEGABYTE = 1 << 20
+BYTES_PER_MEGABYTE = 1 << 20
+NANOSECONDS_PER_MICROSECOND = 1000
 
 
 def read_clocks(boot_id_file: Path = BOOT_ID) -> ClockReading:
-    """Reads the machine's clocks; where it does not tell its boot, the id given is like no other."""
+    """Read the machine's clocks.
+
+    On a machine without a boot id each process gets one of its own, so that the uptime of one is never
+    compared with that of another.
+    """
     try:
         boot_id = boot_id_file.read_text(encoding="ascii").strip()
     except OSError:
         boot_id = f"unknown-{time.time_ns()}"
-    wall_time = time.time_ns() // 1000
-    uptime = time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
-    return ClockReading(wall_time, boot_id, uptime)
+    return ClockReading(
+        wall_time=time.time_ns() // NANOSECONDS_PER_MICROSECOND,
+        boot_id=boot_id,
+        uptime=time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NANOSECONDS_PER_MICROSECOND,
+    )
 
 
 def job_config(settings: DurableJobsSection) -> JobConfig:
-    """Returns the configuration of jobs by the installation's settings."""
+    """Return the configuration of jobs by the installation's settings."""
     return JobConfig(
         service_classes=frozenset(settings.service_classes),
         detached_timeout=_microseconds(settings.detached_timeout),
@@ -43,7 +51,7 @@
 
 
 def _microseconds(seconds: float) -> int:
-    return round(seconds * 1e6)
+    return round(seconds * MICROSECONDS_PER_SECOND)
 
 
 async def attach_job_service(
@@ -53,12 +61,21 @@
     storage: Storage | None = None,
     clocks: ClockReading | None = None,
 ) -> JobService:
-    """Opens the write-ahead log, attaches a job service to the dispatcher and recovers its jobs.
+    """Open the write-ahead log, attach a job service to the dispatcher and recover its jobs.
+
+    Args:
+        dispatcher: The dispatcher, before it serves.
+        settings: The section `[durable]`.
+        log: The log of the dispatcher.
+        storage: The directory of the write-ahead log; None for the one that the settings name.
+        clocks: The machine's clocks; None to read them.
 
-    Raises LogOpenError or OSError, and has changed nothing then.
+    Raises:
+        LogOpenError: The write-ahead log cannot be opened; nothing has been changed.
+        OSError: The same, because of the disk.
     """
     storage = storage or DirectoryStorage(Path(settings.directory))
-    write_ahead_log = WriteAheadLog(storage, int(settings.segment_mb * MEGABYTE))
+    write_ahead_log = WriteAheadLog(storage, int(settings.segment_mb * BYTES_PER_MEGABYTE))
     write_ahead_log.open(skip_damaged=settings.damaged == "skip")
     service = JobService(dispatcher, write_ahead_log, job_config(settings), log)
     await service.recover(clocks or read_clocks())
--- a/locktide/durable/completion.py
+++ b/locktide/durable/completion.py
@@ -1,4 +1,4 @@
-"""Writes the one final response of each job before anybody is told of it."""
+"""Writes the one final response of each job before any client or worker is notified of it."""
 
 from __future__ import annotations
 
@@ -9,16 +9,24 @@
 from locktide.durable.log.crash_point import CrashPoint
 from locktide.durable.log.records import JobFinished
 from locktide.durable.responses import final_response
+from locktide.durable.units import MICROSECONDS_PER_SECOND
 from locktide.durable.waiters import JobWaiters
 from locktide.transport.client_connection import Response
 
-# Seconds between two tries to write a final response; a full disk is cleared by hand.
+#: Seconds between two attempts to write a final response. Space on a full disk is freed by hand, so a
+#: shorter interval gains nothing.
 WRITE_RETRY_INTERVAL = 0.5
-CLOSE_TIMEOUT = 2.0  # seconds for final responses that are being written at a stop
+#: Seconds that a stop waits for final responses that are being written. What is not written by then is
+#: found out by the next start.
+CLOSE_TIMEOUT = 2.0
 
 
 class JobCompletion:
-    """Finishes jobs: the first final response counts, and is told once it is on the disk."""
+    """Finishes jobs: the first final response counts, and is sent once it is on the disk.
+
+    Attributes:
+        writes: The writes of final responses that are under way, by job.
+    """
 
     def __init__(self, context: JobContext, waiters: JobWaiters) -> None:
         self.state = context.state
@@ -28,10 +36,10 @@
         self.tasks = context.tasks
         self.dispatcher = context.dispatcher
         self.log = context.log
-        self.writes: dict[str, asyncio.Task[None]] = {}  # final responses on their way to the disk, by job
+        self.writes: dict[str, asyncio.Task[None]] = {}
 
     def finish_with(self, job_id: str, response: asyncio.Future[Response]) -> None:
-        """Finishes a job by the dispatcher's response, once that is there."""
+        """Finish a job by the dispatcher's response, once that is there."""
         response.add_done_callback(lambda done: self._dispatcher_responded(job_id, done))
 
     def _dispatcher_responded(self, job_id: str, done: asyncio.Future[Response]) -> None:
@@ -39,40 +47,57 @@
             self.finish(job_id, done.result())
 
     def finish(self, job_id: str, response: Response) -> None:
-        """Begins to write the final response, unless the job has one."""
+        """Begin to write the final response, unless the job has one."""
         job = self.state.table.jobs.get(job_id)
         if job is None or job_id in self.writes or job.finished is not None:
             return
-        retry_after = dict(response.headers).get("Retry-After")
-        retry_after_microseconds = int(float(retry_after) * 1e6) if retry_after else 0
         record = JobFinished(
-            job_id, response.status, response.body, retry_after_microseconds, self.dispatcher.now()
+            job_id=job_id,
+            status=response.status,
+            body=response.body,
+            retry_after=_retry_after(response),
+            recorded_at=self.dispatcher.now(),
         )
-        self.writes[job_id] = self.tasks.spawn(self._write(record))
-
-    async def _write(self, record: JobFinished) -> None:
-        """Writes a final response and then tells it.
+        self.writes[job_id] = self.tasks.spawn(self._write_and_respond(record))
 
-        Tried again while it cannot be written: the job is not lost, as a restart would end it, or find it
-        done.
-        """
+    async def _write_and_respond(self, record: JobFinished) -> None:
+        """Write a final response, and then send it to the clients that wait."""
         job_id = record.job_id
         self.write_ahead_log.reach_crash_point(CrashPoint.BEFORE_FINAL_RESPONSE)
         while True:
-            try:
-                await self.write_ahead_log.append(record)
+            if await self._write(record):
                 break
-            except LogWriteError as error:
-                reason = str(error)
-                self.log.emit(f"jobs: no final answer: {reason}", event="response_write_failed", error=reason)
-                await asyncio.sleep(WRITE_RETRY_INTERVAL)
+            await asyncio.sleep(WRITE_RETRY_INTERVAL)
         self.write_ahead_log.reach_crash_point(CrashPoint.AFTER_FINAL_RESPONSE)
         self.leases.drop(job_id)
         self.state.settled.add(job_id)
         self.writes.pop(job_id, None)
         self.waiters.resolve(job_id, final_response(self.state.table.jobs[job_id]))
 
+    async def _write(self, record: JobFinished) -> bool:
+        """Write a final response; return whether it is on the disk.
+
+        A response that cannot be written is not lost: its worker calls again, and a restart resumes the job.
+        """
+        try:
+            await self.write_ahead_log.append(record)
+        except LogWriteError as error:
+            self.log.emit(
+                f"job {record.job_id}: no final response: {error}",
+                event="response_write_failed",
+                job=record.job_id,
+                error=str(error),
+            )
+            return False
+        return True
+
     async def wait_for_writes(self) -> None:
-        """Waits for the final responses that are being written, for two seconds at most."""
+        """Wait for the final responses that are being written, for `CLOSE_TIMEOUT` at most."""
         if self.writes:
             await asyncio.wait(list(self.writes.values()), timeout=CLOSE_TIMEOUT)
+
+
+def _retry_after(response: Response) -> int:
+    """Return the advice to come back later, in microseconds; 0 for none."""
+    seconds = dict(response.headers).get("Retry-After")
+    return int(float(seconds) * MICROSECONDS_PER_SECOND) if seconds else 0
--- a/locktide/durable/disk.py
+++ b/locktide/durable/disk.py
@@ -13,7 +13,9 @@
 
 from locktide.durable.errors import DirectoryInUseError
 
+#: The file whose lock keeps a second dispatcher out.
 LOCK_FILE = "LOCK"
+#: Only the owner may read the files: they have the payloads of the clients.
 FILE_MODE = 0o600
 
 
@@ -21,60 +23,67 @@
     """A directory of files; appended data survives a crash once a `sync` begun later has ended."""
 
     def list_files(self) -> list[str]:
-        """Returns the names of all files, sorted."""
+        """Return the names of all files, sorted."""
 
     def read(self, name: str) -> bytes:
-        """Returns the whole content of a file."""
+        """Return the whole content of a file."""
 
     def create(self, name: str) -> None:
-        """Creates an empty file whose name is durable at once; raises FileExistsError."""
+        """Create an empty file whose name is durable at once; raise FileExistsError."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Appends to a file; raises OSError, after which part of the data may be in the file."""
+        """Append to a file; raise OSError, after which part of the data may be in the file."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file down to `size` bytes, durably."""
+        """Cut a file down to `size` bytes, durably."""
 
     async def sync(self, name: str) -> None:
-        """Makes what has been appended to a file durable; raises OSError."""
+        """Make what has been appended to a file durable; raise OSError."""
 
     def remove(self, name: str) -> None:
-        """Removes a file, if it is there."""
+        """Remove a file, if it is there."""
 
     def acquire_lock(self) -> None:
-        """Keeps other processes out until this one ends or releases it; raises DirectoryInUseError."""
+        """Keep other processes out until this one ends or releases it; raise DirectoryInUseError."""
 
     def release_lock(self) -> None:
-        """Releases the lock and closes all files."""
+        """Release the lock and close all files."""
 
 
 class DirectoryStorage:
-    """Storage in a directory of the file system, which is made if it is not there."""
+    """Storage in a directory of the file system, which is created if it is not there.
+
+    Attributes:
+        path: The directory.
+        append_descriptors: Descriptors of the files that were appended to, by file name.
+        lock_descriptor: Descriptor of the lock file; None while it is not locked.
+        sync_thread: Runs the syncs, so that the event loop runs on; one thread, so that none overtakes
+            another.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
         path.mkdir(parents=True, exist_ok=True)
         self.append_descriptors: dict[str, int] = {}
         self.lock_descriptor: int | None = None
-        # One thread: syncs of one file do not overtake each other, and the event loop runs on meanwhile.
         self.sync_thread = ThreadPoolExecutor(1, thread_name_prefix="sync")
 
     def list_files(self) -> list[str]:
-        """Returns the names of all files, sorted."""
+        """Return the names of all files, sorted."""
         return sorted(entry.name for entry in self.path.iterdir() if entry.is_file())
 
     def read(self, name: str) -> bytes:
-        """Returns the whole content of a file."""
+        """Return the whole content of a file."""
         return (self.path / name).read_bytes()
 
     def create(self, name: str) -> None:
-        """Creates an empty file whose name is durable at once; raises FileExistsError."""
+        """Create an empty file whose name is durable at once; raise FileExistsError."""
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC
         self.append_descriptors[name] = os.open(self.path / name, flags, FILE_MODE)
         self._sync_directory()
 
     def append(self, name: str, data: bytes) -> None:
-        """Appends to a file; raises OSError, after which part of the data may be in the file."""
+        """Append to a file; raise OSError, after which part of the data may be in the file."""
         descriptor = self._append_descriptor(name)
         remaining = memoryview(data)
         while remaining:
@@ -82,25 +91,25 @@
             remaining = remaining[written:]
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file down to `size` bytes, durably."""
+        """Cut a file down to `size` bytes, durably."""
         descriptor = self._append_descriptor(name)
         os.ftruncate(descriptor, size)
         os.fsync(descriptor)
 
     async def sync(self, name: str) -> None:
-        """Makes what has been appended to a file durable; raises OSError."""
+        """Make what has been appended to a file durable; raise OSError."""
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(self.sync_thread, os.fdatasync, self._append_descriptor(name))
 
     def remove(self, name: str) -> None:
-        """Removes a file, if it is there."""
+        """Remove a file, if it is there."""
         if name in self.append_descriptors:
             os.close(self.append_descriptors.pop(name))
         (self.path / name).unlink(missing_ok=True)
         self._sync_directory()
 
     def acquire_lock(self) -> None:
-        """Keeps other processes out until this one ends or releases it; raises DirectoryInUseError."""
+        """Keep other processes out until this one ends or releases it; raise DirectoryInUseError."""
         self.lock_descriptor = os.open(
             self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE
         )
@@ -115,7 +124,7 @@
             raise
 
     def release_lock(self) -> None:
-        """Releases the lock and closes all files."""
+        """Release the lock and close all files."""
         self.sync_thread.shutdown(wait=True)
         for descriptor in self.append_descriptors.values():
             with suppress(OSError):
--- a/locktide/durable/job_config.py
+++ b/locktide/durable/job_config.py
@@ -10,11 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class JobConfig:
-    """Which requests are durable jobs, and their limits; spans in microseconds."""
+    """Which requests are durable jobs, and their limits.
 
-    service_classes: Collection[str]  # whose requests are durable jobs
-    detached_timeout: int  # of a job for which nobody waits
-    retention: int  # how long a final response can be asked for
+    Attributes:
+        service_classes: The service classes whose requests are durable jobs.
+        detached_timeout: Timeout of a job for which no client waits, in microseconds.
+        retention: How long a final response can be queried, in microseconds.
+        max_open_jobs: How many jobs may be open; more are rejected.
+        resume_rate: Jobs resumed after a crash, per second.
+        leases: How long a worker may be silent.
+    """
+
+    service_classes: Collection[str]
+    detached_timeout: int
+    retention: int
     max_open_jobs: int
-    resume_rate: float  # jobs resumed a second after a crash
+    resume_rate: float
     leases: LeaseConfig
--- a/locktide/durable/job_dispatcher.py
+++ b/locktide/durable/job_dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands durable jobs to the dispatcher: all that durable jobs use of it is here."""
+"""The part of the dispatcher that durable jobs use."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class JobDispatcher:
-    """The dispatcher, as durable jobs use it."""
+    """Submits and resumes durable jobs at the dispatcher; nothing else of `durable` calls it."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
         self.host = dispatcher.job_host
 
     def now(self) -> int:
-        """Returns the dispatcher's time in microseconds."""
+        """Return the dispatcher's time in microseconds."""
         return self.host.now()
 
     def is_id_in_use(self, request_id: str) -> bool:
@@ -32,11 +32,11 @@
     def submit(
         self, accepted: JobAccepted, timeout: int, background: bool
     ) -> asyncio.Future[Response] | None:
-        """Submits an accepted job; None where its id is in use."""
+        """Submit an accepted job, with a timeout in microseconds; return None where its id is in use."""
         return self.dispatcher.submit(_request_of(accepted, timeout, background))
 
     def resume(self, step: ResumeJob) -> asyncio.Future[Response]:
-        """Resumes a job of an earlier process."""
+        """Resume a job of an earlier process."""
         accepted = step.job.accepted
         timeout = accepted.deadline - accepted.recorded_at
         request = _request_of(accepted, timeout, background=True)
@@ -53,28 +53,28 @@
         )
 
     def expire_lease(self, lease: Lease) -> None:
-        """Ends the attempt of a lease that has run out."""
+        """End the attempt of a lease that has run out."""
         self.host.expire_lease(lease.job_id, lease.fence)
 
     def handle_callback(self, callback: Callback) -> None:
-        """Passes on what a worker reports."""
+        """Forward a worker's report."""
         self.dispatcher.handle_callback(callback)
 
     def endpoint(self, worker: str) -> EndpointEntry:
-        """Returns the entry of a worker that is listed."""
+        """Return the entry of a worker that is listed."""
         return self.host.endpoint(worker)
 
 
 def _request_of(accepted: JobAccepted, timeout: int, background: bool) -> SubmitRequest:
     return SubmitRequest(
-        accepted.job_id,
-        accepted.service_class,
-        timeout,
-        accepted.width,
-        False,
-        accepted.method,
-        accepted.target,
-        list(accepted.forwarded_headers),
-        accepted.body,
+        id=accepted.job_id,
+        service_class=accepted.service_class,
+        timeout=timeout,
+        width=accepted.width,
+        is_retry=False,
+        method=accepted.method,
+        target=accepted.target,
+        forwarded_headers=list(accepted.forwarded_headers),
+        body=accepted.body,
         background=background,
     )
--- a/locktide/durable/job_service.py
+++ b/locktide/durable/job_service.py
@@ -1,8 +1,10 @@
 """The durable jobs of one dispatcher, between its listener and its attempts.
 
-What is on the disk before what: a job before it is accepted or dispatched, a lease before its attempt's
-first byte, a final response before its client or its worker is told that we have it. So a crash at any moment
-leaves either a job that was never acknowledged, or one that is recovered with all that may have run of it.
+What is on the disk before what: a job before it is acknowledged or dispatched, a lease before its attempt's
+first byte, a final response before its client or its worker gets a response that rests on it. A crash at
+any moment therefore leaves either a job that was never acknowledged, or one that is recovered with every
+attempt that may have run. Held by `tests/durable/test_crashes.py`, which kills dispatchers at each of these
+points.
 """
 
 from __future__ import annotations
@@ -31,16 +33,17 @@
 from locktide.transport.client_connection import Response
 from locktide.transport.log import Log
 
-# Seconds between two checks for leases that have run out: a tenth of the shortest useful one.
+#: Seconds between two checks for leases that have run out: a tenth of the shortest useful lease.
 LEASE_CHECK_INTERVAL = 0.25
-RETENTION_CHECK_INTERVAL = 5.0  # seconds
+#: Seconds between two checks for jobs whose retention has passed; each reads the whole table.
+RETENTION_CHECK_INTERVAL = 5.0
 
 
 class JobService:
     """The dispatcher's job store, and the request handler of its listener.
 
-    Implements `dispatcher.job_store.JobStore` and `transport.client_connection.RequestHandler`. Requests of
-    service classes that are not durable are handed on to the dispatcher.
+    Implements `dispatcher.job_store.JobStore` and `transport.request_handler.RequestHandler`. Requests of
+    service classes that are not durable are forwarded to the dispatcher.
     """
 
     def __init__(
@@ -70,12 +73,12 @@
         dispatcher.attach_job_store(self, self)
 
     async def recover(self, clocks: ClockReading) -> None:
-        """Recovers the jobs of an earlier process, before the dispatcher serves."""
+        """Recover the jobs of an earlier process, before the dispatcher serves."""
         await self.resumption.recover(clocks)
         self.tasks.spawn(self._expire_periodically())
 
     async def _expire_periodically(self) -> None:
-        """Ends leases that have run out, and forgets jobs whose retention has passed."""
+        """End leases that have run out, and forget jobs whose retention has passed."""
         loop = asyncio.get_running_loop()
         next_retention_check = 0.0
         while True:
@@ -86,7 +89,7 @@
                 self.state.drop_expired(self.job_dispatcher.now(), self.config.retention)
 
     async def close(self) -> None:
-        """Finishes the writes that are under way and closes the log."""
+        """Finish the writes that are under way and close the log."""
         self.tasks.cancel_all_but(self.completion.writes.values())
         await self.completion.wait_for_writes()
         await self.write_ahead_log.wait_until_idle()
@@ -99,20 +102,20 @@
         return self.dispatcher.is_ready()
 
     def submit(self, message: SubmitRequest) -> asyncio.Future[Response] | None:
-        """Returns the response to come; None where the request's id is in use or was."""
+        """Return the response to come; None where the request's id is in use or was."""
         if message.service_class not in self.config.service_classes:
             return self.dispatcher.submit(message)
         return self.acceptance.submit(message)
 
     def client_disconnected(self, message: SubmitRequest) -> None:
-        """A client has gone away; a durable job goes on."""
+        """Drop the response of a client that has disconnected; a durable job goes on."""
         if message.service_class not in self.config.service_classes:
             self.dispatcher.client_disconnected(message)
         else:
             self.waiters.cancel(message.id)
 
     def handle_callback(self, message: Callback) -> Awaitable[None] | None:
-        """Applies a worker's report; its worker is answered after what this returns, if anything."""
+        """Apply a worker's report; return what its worker waits for, if anything."""
         job = self.state.table.jobs.get(message.request_id)
         if job is None:
             self.dispatcher.handle_callback(message)
@@ -120,8 +123,8 @@
         return self.lease_service.handle_callback(job, message)
 
     def query_job(self, message: JobQuery) -> Response:
-        """Returns 202 while the job is open, then 200 with its state and result, or 404."""
-        return self.queries.answer(message)
+        """Return 202 while the job is open, then 200 with its state and result, or 404."""
+        return self.queries.respond(message)
 
     # --- job store of the dispatcher
 
@@ -130,9 +133,9 @@
         return request.message.service_class in self.config.service_classes
 
     async def grant_lease(self, request: OpenRequest, attempt: OpenAttempt) -> bool:
-        """Writes a lease before the first byte of an attempt; returns whether the attempt may begin."""
+        """Write a lease before the first byte of an attempt; return whether the attempt may be sent."""
         return await self.lease_service.grant(request.message.id, attempt)
 
     def attempt_ended(self, request: OpenRequest, attempt: OpenAttempt) -> None:
-        """Ends the lease of an attempt that has its outcome."""
+        """End the lease of an attempt that has its outcome."""
         self.lease_service.attempt_ended(request.message.id, attempt)
--- a/locktide/durable/jobs.py
+++ b/locktide/durable/jobs.py
@@ -1,4 +1,4 @@
-"""The state of all jobs, made by the log's records: the same when they are written and when read again."""
+"""The state of the jobs, made by the log's records in the same way when they are written and when read."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     WriterStarted,
 )
 from locktide.durable.log.stored_outcomes import decode_outcome
-from locktide.scheduler.types import PROVEN_NOT_RUN
+from locktide.scheduler.types import PROVEN_NOT_RUN, AttemptOutcome
 
 
 class JobState(StrEnum):
@@ -34,30 +34,42 @@
 
 @dataclass(slots=True)
 class Job:
-    """All that was recorded of one job."""
+    """Everything that was recorded of one job.
+
+    Attributes:
+        accepted: What its client submitted.
+        leases: Its leases, in the order of their fencing numbers.
+        ended_attempts: The attempts that have an outcome, by the fencing number of their lease.
+        finished: Its final response; None while it is open.
+        late_reports: What workers reported under leases that had ended.
+    """
 
     accepted: JobAccepted
     leases: list[LeaseGranted] = field(default_factory=list)
-    ended_attempts: dict[int, AttemptEnded] = field(default_factory=dict)  # by fence
+    ended_attempts: dict[int, AttemptEnded] = field(default_factory=dict)
     finished: JobFinished | None = None
     late_reports: list[LateReport] = field(default_factory=list)
 
     @classmethod
     def from_snapshot(cls, snapshot: JobSnapshot) -> Job:
-        """Returns the job that a snapshot holds."""
-        ended_attempts = {ended.fence: ended for ended in snapshot.ended_attempts}
+        """Return the job that a snapshot holds."""
         return cls(
-            snapshot.accepted,
-            list(snapshot.leases),
-            ended_attempts,
-            snapshot.finished,
-            list(snapshot.late_reports),
+            accepted=snapshot.accepted,
+            leases=list(snapshot.leases),
+            ended_attempts={ended.fence: ended for ended in snapshot.ended_attempts},
+            finished=snapshot.finished,
+            late_reports=list(snapshot.late_reports),
         )
 
     def snapshot(self) -> JobSnapshot:
-        """Returns the job as one record."""
-        ended_attempts = list(self.ended_attempts.values())
-        return JobSnapshot(self.accepted, self.leases, ended_attempts, self.finished, self.late_reports)
+        """Return the job as one record."""
+        return JobSnapshot(
+            accepted=self.accepted,
+            leases=self.leases,
+            ended_attempts=list(self.ended_attempts.values()),
+            finished=self.finished,
+            late_reports=self.late_reports,
+        )
 
     @property
     def job_id(self) -> str:
@@ -78,25 +90,34 @@
 
     def possibly_executed(self) -> bool:
         """Whether a worker may have run it."""
-        return any(
-            lease.fence not in self.ended_attempts
-            or decode_outcome(self.ended_attempts[lease.fence].outcome) not in PROVEN_NOT_RUN
-            for lease in self.leases
-        )
+        return any(self.outcome(lease) not in PROVEN_NOT_RUN for lease in self.leases)
+
+    def outcome(self, lease: LeaseGranted) -> AttemptOutcome | None:
+        """Return how the attempt under a lease ended; None where that is not known."""
+        ended = self.ended_attempts.get(lease.fence)
+        return decode_outcome(ended.outcome) if ended else None
 
 
 class JobTable:
-    """All jobs that are open, or finished and retained for their clients."""
+    """The jobs that are open, or finished and retained for their clients.
+
+    Attributes:
+        jobs: The jobs by their ids, in the order in which they were accepted.
+        job_ids_by_key: Ids of the jobs that have an idempotency key, by service class and key.
+        open_count: How many jobs have no final response.
+        last_recorded_at: The latest time in any record, in Unix microseconds of the process that wrote it.
+        writer: The last process that wrote; None in a new log.
+    """
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
-        self.job_ids_by_key: dict[tuple[str, str], str] = {}  # by service class and idempotency key
+        self.job_ids_by_key: dict[tuple[str, str], str] = {}
         self.open_count = 0
-        self.last_recorded_at = 0  # the latest time in any record
-        self.writer: WriterStarted | None = None  # the last process that wrote
+        self.last_recorded_at = 0
+        self.writer: WriterStarted | None = None
 
     def apply(self, record: AnyRecord) -> None:
-        """Applies one record; one of an unknown job is of a job whose retention has passed."""
+        """Apply one record; a record of an unknown job has no effect, as the job's retention has passed."""
         if isinstance(record, JobSnapshot):
             self._put(Job.from_snapshot(record))
             return
@@ -135,7 +156,7 @@
         self.last_recorded_at = max(self.last_recorded_at, accepted.recorded_at)
 
     def drop(self, job_id: str) -> None:
-        """Forgets a job, if it is there."""
+        """Remove a job, if it is there."""
         job = self.jobs.pop(job_id, None)
         if job is None:
             return
@@ -146,16 +167,16 @@
             del self.job_ids_by_key[class_and_key]
 
     def find_by_key(self, service_class: str, key: str) -> Job | None:
-        """Returns the job with that idempotency key."""
+        """Return the job with that idempotency key."""
         return self.jobs.get(self.job_ids_by_key.get((service_class, key), ""))
 
     def open_jobs(self) -> list[Job]:
-        """Returns the jobs without a final response, oldest first."""
+        """Return the jobs without a final response, oldest first."""
         jobs = [job for job in self.jobs.values() if job.finished is None]
         return sorted(jobs, key=lambda job: (job.accepted.recorded_at, job.job_id))
 
     def drop_expired(self, now: int, retention: int) -> int:
-        """Forgets the jobs that finished `retention` microseconds ago; returns how many."""
+        """Remove the jobs that finished `retention` microseconds ago; return how many."""
         expired = [
             job for job in self.jobs.values() if job.finished and job.finished.recorded_at + retention <= now
         ]
--- a/locktide/durable/late_reports.py
+++ b/locktide/durable/late_reports.py
@@ -14,7 +14,8 @@
 from locktide.protocol.messages import Callback
 from locktide.scheduler.types import AttemptOutcome
 
-# Late reports recorded of one job: four attempts have a few each, and a bad peer could send for ever.
+#: Late reports that are recorded of one job: its attempts have a few each, and a faulty worker could send
+#: without end.
 MAX_LATE_REPORTS = 16
 
 
@@ -29,9 +30,9 @@
         self.log = context.log
 
     def record(self, job: Job, callback: Callback) -> Awaitable[None] | None:
-        """Writes down a final report under a lease that has ended; returns what its worker waits for."""
+        """Write a final report under an ended lease; return what its worker waits for, if anything."""
         if (write := self.completion.writes.get(job.job_id)) is not None:
-            return asyncio.shield(write)  # the same report once more
+            return asyncio.shield(write)  # the report that finishes the job, sent again
         fence = _fence_of(job, callback)
         if len(job.late_reports) >= MAX_LATE_REPORTS or _is_known(job, callback, fence):
             return None
@@ -43,24 +44,30 @@
             worker=callback.worker,
             state=callback.state,
         )
-        report = LateReport(job.job_id, fence, callback.worker, callback.state, self.dispatcher.now())
+        report = LateReport(
+            job_id=job.job_id,
+            fence=fence,
+            worker=callback.worker,
+            state=callback.state,
+            recorded_at=self.dispatcher.now(),
+        )
         return self.tasks.spawn(wait_or_lose(self.write_ahead_log.append(report)))
 
 
 def _fence_of(job: Job, callback: Callback) -> int:
-    """Returns the fence that a worker names, or that of its latest lease; 0 where it had none."""
+    """Return the fence that a worker names, or that of its latest lease; 0 where it had none."""
     if callback.fence is not None:
         return callback.fence
     return max((lease.fence for lease in job.leases if lease.worker == callback.worker), default=0)
 
 
 def _is_known(job: Job, callback: Callback, fence: int) -> bool:
-    """Whether the report says what is on record."""
+    """Whether the report says what is recorded already."""
     for report in job.late_reports:
         if (report.fence, report.worker, report.state) == (fence, callback.worker, callback.state):
             return True
     if job.state is JobState.DONE and callback.outcome == AttemptOutcome.DONE and fence == job.fence:
-        return True  # the report that made the job done, once more: its final response says so
+        return True  # the report that finished the job, sent again
     ended = job.ended_attempts.get(fence)
     if ended is None or callback.outcome is None:
         return False
--- a/locktide/durable/lease_service.py
+++ b/locktide/durable/lease_service.py
@@ -36,7 +36,7 @@
         self.log = context.log
 
     async def grant(self, job_id: str, attempt: OpenAttempt) -> bool:
-        """Writes a lease before the first byte of an attempt; returns whether the attempt may begin."""
+        """Write a lease before the first byte of an attempt; return whether the attempt may be sent."""
         job = self.state.table.jobs.get(job_id)
         if job is None or attempt.outcome:
             return False
@@ -45,33 +45,54 @@
         lease = self.leases.grant(job_id, attempt.worker, now, last_fence=job.fence)
         attempt.fence = lease.fence
         record = LeaseGranted(
-            job_id, lease.fence, attempt.worker, endpoint.zone, endpoint.cell, now, lease.expires_at
+            job_id=job_id,
+            fence=lease.fence,
+            worker=attempt.worker,
+            zone=endpoint.zone,
+            cell=endpoint.cell,
+            recorded_at=now,
+            expires_at=lease.expires_at,
         )
         try:
             await self.write_ahead_log.append(record)
         except LogWriteError as error:
-            # No byte of it was sent, whatever the disk holds: it is ended in memory.
-            self.leases.end(job_id, lease.fence)
-            never_sent = encode_outcome(AttemptOutcome.NEVER_SENT)
-            self.state.table.apply(AttemptEnded(job_id, lease.fence, never_sent, now))
-            self.log.emit(f"jobs: no lease: {error}", event="lease_write_failed", error=str(error))
+            self._undo_grant(record, error)
             return False
         self.write_ahead_log.reach_crash_point(CrashPoint.LEASE_WRITTEN)
         return True
 
+    def _undo_grant(self, record: LeaseGranted, error: LogWriteError) -> None:
+        """End a lease that could not be written, in memory alone: no byte of its attempt was sent."""
+        self.leases.end(record.job_id, record.fence)
+        ended = AttemptEnded(
+            job_id=record.job_id,
+            fence=record.fence,
+            outcome=encode_outcome(AttemptOutcome.NEVER_SENT),
+            recorded_at=record.recorded_at,
+        )
+        self.state.table.apply(ended)
+        self.log.emit(
+            f"job {record.job_id}: no lease for worker {record.worker}: {error}",
+            event="lease_write_failed",
+            job=record.job_id,
+            fence=record.fence,
+            worker=record.worker,
+            error=str(error),
+        )
+
     def attempt_ended(self, job_id: str, attempt: OpenAttempt) -> None:
-        """Ends the lease of an attempt that has its outcome."""
+        """End the lease of an attempt that has its outcome."""
         if not attempt.fence or attempt.outcome is None:
             return
         self.leases.end(job_id, attempt.fence)
         if attempt.outcome == AttemptOutcome.DONE:
-            return  # the job's final response says so
+            return  # the job's final response is its record
         outcome = encode_outcome(AttemptOutcome(attempt.outcome))
         record = AttemptEnded(job_id, attempt.fence, outcome, self.dispatcher.now())
         self.tasks.spawn(wait_or_lose(self.write_ahead_log.append(record)))
 
     def handle_callback(self, job: Job, callback: Callback) -> Awaitable[None] | None:
-        """Applies a worker's report; its worker is answered after what this returns, if anything."""
+        """Apply a worker's report; return what its worker waits for, if anything."""
         report = WorkerReport(
             job.job_id,
             callback.worker,
@@ -85,16 +106,17 @@
         self.dispatcher.handle_callback(callback)
         if callback.outcome == AttemptOutcome.DONE:
             self.completion.finish(job.job_id, Response(200, callback.result))
-        # The worker may forget the result only once it is on the disk: until then it calls again.
+        # A worker drops a result once its callback has a response, and sends it again until then: it must
+        # not get one before the result is on the disk.
         if (write := self.completion.writes.get(job.job_id)) is not None:
             return asyncio.shield(write)
         return None
 
     def expire(self) -> None:
-        """Ends the leases that have run out, and the attempts under them."""
+        """End the leases that have run out, and the attempts under them."""
         for lease in self.leases.expire(self.dispatcher.now()):
             self.log.emit(
-                f"job {lease.job_id}: lease {lease.fence} of worker {lease.worker} has run out",
+                f"job {lease.job_id}: lease {lease.fence} of worker {lease.worker} has expired",
                 event="lease_expired",
                 job=lease.job_id,
                 fence=lease.fence,
--- a/locktide/durable/measure.py
+++ b/locktide/durable/measure.py
@@ -13,18 +13,36 @@
 from locktide.durable.leases import LeaseConfig, LeaseTable
 from locktide.durable.log.records import JobAccepted, LeaseGranted, WriterStarted
 from locktide.durable.log.write_ahead_log import WriteAheadLog
+from locktide.durable.units import MICROSECONDS_PER_SECOND
 
-CLIENTS = 64  # that submit at once: as many wait at a busy dispatcher
+#: Clients that submit at once: as many wait at a busy dispatcher.
+CLIENT_COUNT = 64
+#: Payload of a job.
 BODY = b"x" * 200
-SECOND = 1_000_000  # in microseconds
-UNLIMITED_SEGMENT = 1 << 40  # bytes: nothing is compacted
-LEASED_JOB_INTERVAL = 4  # every fourth job of a log to recover has a lease
-LEASE_CONFIG = LeaseConfig(60 * SECOND, 15 * SECOND)
+#: Microseconds until a job is given up.
+JOB_TIMEOUT = 100 * MICROSECONDS_PER_SECOND
+#: Size in bytes after which a log is compacted: none of these is.
+UNLIMITED_SEGMENT = 1 << 40
+#: Of the jobs of a log to recover, one in so many has a lease.
+LEASED_JOB_INTERVAL = 4
+LEASE_CONFIG = LeaseConfig(
+    start_timeout=60 * MICROSECONDS_PER_SECOND, heartbeat_timeout=15 * MICROSECONDS_PER_SECOND
+)
+MEDIAN_PERCENT = 50
+TAIL_PERCENT = 99
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptanceCost:
-    """Cost of `count` acceptances; times in seconds."""
+    """What the acceptance of some jobs costs.
+
+    Attributes:
+        count: Jobs that were accepted.
+        duration: Seconds for all of them.
+        p50: Seconds within which half of the jobs were accepted.
+        p99: The same for 99 of 100.
+        sync_count: Syncs of the disk.
+    """
 
     count: int
     duration: float
@@ -40,7 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryCost:
-    """Seconds to read a log and to plan what to do with its open jobs."""
+    """What it costs to read a log and to plan what to do with its open jobs.
+
+    Attributes:
+        job_count: Open jobs of the log.
+        mean: Seconds on average.
+        worst: Seconds at most.
+    """
 
     job_count: int
     mean: float
@@ -48,7 +72,7 @@
 
 
 def example_job(number: int) -> JobAccepted:
-    """Returns the record of an accepted job of ordinary size."""
+    """Return the record of an accepted job of ordinary size."""
     job_id = f"job-{number:08d}"
     headers = [(b"req-id", job_id.encode()), (b"idempotency-key", job_id.encode())]
     return JobAccepted(
@@ -61,14 +85,29 @@
         forwarded_headers=headers,
         body=BODY,
         recorded_at=number,
-        deadline=number + 100 * SECOND,
+        deadline=number + JOB_TIMEOUT,
         width=1.0,
     )
 
 
+def example_lease(job: JobAccepted) -> LeaseGranted:
+    """Return the record of a lease of a job."""
+    return LeaseGranted(
+        job_id=job.job_id,
+        fence=1,
+        worker="w0",
+        zone="",
+        cell=0,
+        recorded_at=job.recorded_at,
+        expires_at=LEASE_CONFIG.start_timeout,
+    )
+
+
 async def measure_acceptance(directory: Path, count: int, group_commit: bool) -> AcceptanceCost:
-    """Lets each client submit its next job once the last one is on the disk."""
-    log = WriteAheadLog(DirectoryStorage(directory), UNLIMITED_SEGMENT, group_commit)
+    """Accept jobs of clients that each submit their next one once the last one is on the disk."""
+    log = WriteAheadLog(
+        storage=DirectoryStorage(directory), segment_bytes=UNLIMITED_SEGMENT, group_commit=group_commit
+    )
     log.open()
     waits: list[float] = []
     numbers = iter(range(count))
@@ -80,17 +119,25 @@
             waits.append(time.perf_counter() - submitted_at)
 
     started_at = time.perf_counter()
-    await asyncio.gather(*(submit_jobs() for _ in range(CLIENTS)))
+    await asyncio.gather(*(submit_jobs() for _ in range(CLIENT_COUNT)))
     duration = time.perf_counter() - started_at
     log.close()
     waits.sort()
-    p50 = waits[len(waits) // 2]
-    p99 = waits[len(waits) * 99 // 100]
-    return AcceptanceCost(count, duration, p50, p99, log.sync_count)
+    return AcceptanceCost(
+        count=count,
+        duration=duration,
+        p50=_percentile(waits, MEDIAN_PERCENT),
+        p99=_percentile(waits, TAIL_PERCENT),
+        sync_count=log.sync_count,
+    )
+
+
+def _percentile(sorted_values: list[float], percent: int) -> float:
+    return sorted_values[len(sorted_values) * percent // 100]
 
 
 async def write_open_jobs(directory: Path, count: int) -> None:
-    """Writes a log with so many open jobs; every fourth has a lease."""
+    """Write a log with so many open jobs, some of which have a lease."""
     log = WriteAheadLog(DirectoryStorage(directory), UNLIMITED_SEGMENT)
     log.open()
     writes = [log.append(WriterStarted(0, "boot", 0))]
@@ -98,13 +145,13 @@
         job = example_job(number)
         writes.append(log.append(job))
         if number % LEASED_JOB_INTERVAL == 0:
-            writes.append(log.append(LeaseGranted(job.job_id, 1, "w0", "", 0, number, 60 * SECOND)))
+            writes.append(log.append(example_lease(job)))
     await asyncio.gather(*writes)
     log.close()
 
 
 def time_recovery(directory: Path) -> float:
-    """Returns the seconds that one recovery takes."""
+    """Return the seconds that one recovery takes."""
     started_at = time.perf_counter()
     log = WriteAheadLog(DirectoryStorage(directory), UNLIMITED_SEGMENT)
     log.open()
@@ -118,7 +165,7 @@
 
 
 def measure_recoveries(parent: Path, sizes: list[int], repetitions: int) -> list[RecoveryCost]:
-    """Measures recovery at each size, in directories below `parent` that are removed again."""
+    """Measure recovery at each size, in directories below `parent` that are removed again."""
     costs = []
     for size in sizes:
         directory = parent / f"recover-{size}"
@@ -127,12 +174,13 @@
             durations = [time_recovery(directory) for _ in range(repetitions)]
         finally:
             shutil.rmtree(directory, ignore_errors=True)
-        costs.append(RecoveryCost(size, sum(durations) / len(durations), max(durations)))
+        mean = sum(durations) / len(durations)
+        costs.append(RecoveryCost(job_count=size, mean=mean, worst=max(durations)))
     return costs
 
 
 def measure_acceptances(parent: Path, count: int) -> tuple[AcceptanceCost, AcceptanceCost]:
-    """Measures acceptance with one sync each, then with group commit, on the same disk."""
+    """Measure acceptance with one sync for each job, then with group commit, on the same disk."""
     costs = []
     for group_commit in (False, True):
         directory = parent / f"accept-{group_commit}"
--- a/locktide/durable/queries.py
+++ b/locktide/durable/queries.py
@@ -1,4 +1,4 @@
-"""Answers clients that ask for a job by its id."""
+"""Responds to clients that query a job by its id."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class JobQueries:
-    """Answers `GET /jobs/ID`."""
+    """Responds to `GET /jobs/ID`."""
 
     def __init__(self, state: DurableState) -> None:
         self.state = state
 
-    def answer(self, query: JobQuery) -> Response:
-        """Returns 202 while the job is open, then 200 with its state and result, or 404."""
+    def respond(self, query: JobQuery) -> Response:
+        """Return 202 while the job is open, then 200 with its state and result, or 404."""
         if not self.state.is_accepted(query.id):
             return unknown_job_response()
         job = self.state.table.jobs[query.id]
--- a/locktide/durable/recovery.py
+++ b/locktide/durable/recovery.py
@@ -7,17 +7,25 @@
 from locktide.durable.jobs import Job, JobTable
 from locktide.durable.leases import Lease, LeaseTable
 from locktide.durable.log.records import LeaseGranted, WriterStarted
-from locktide.durable.log.stored_outcomes import decode_outcome
 from locktide.scheduler.events import RecoveredAttempt
 
-DENIED_STATUS = 503
-TERMINATED_STATUS = 502
-UNKNOWN_SPAN = 10**15  # microseconds; longer than any deduplication window: nothing can be counted on
+#: Status of a job that ended before it may have run.
+REJECTED_STATUS = 503
+#: Status of a job that ended after it may have run.
+FAILED_STATUS = 502
+#: Microseconds that stand for a time of unknown length, longer than any deduplication window.
+UNKNOWN_SPAN = 10**15
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """The machine's clocks in microseconds: Unix time, which may be set, and its uptime, which may not."""
+    """The machine's clocks.
+
+    Attributes:
+        wall_time: Unix time in microseconds, which may be set.
+        boot_id: Names the machine's run since its last boot.
+        uptime: Microseconds since that boot, which cannot be set.
+    """
 
     wall_time: int
     boot_id: str
@@ -42,22 +50,33 @@
 
 @dataclass(slots=True)
 class ResumeJob:
-    """A job to resume, with what is known of each attempt; those without an outcome are waited for."""
+    """A job to resume.
+
+    Attributes:
+        job: The job.
+        deadline: When it is given up, in microseconds of the dispatcher's clock.
+        attempts: What is known of each attempt, in the order of their leases.
+        pending: Indexes of the attempts without an outcome, which are waited for.
+    """
 
     job: Job
     deadline: int
     attempts: list[RecoveredAttempt]
-    pending: list[int]  # indexes of the attempts without an outcome
+    pending: list[int]
 
 
 RecoveryStep = FinishJob | ResumeJob
 
 
 def elapsed_since(writer: WriterStarted | None, last_recorded_at: int, now: ClockReading) -> ElapsedBounds:
-    """Returns the time since the last record. On the same boot it is known whatever the clock was set to.
-
-    Guards against a clock that was stepped back: on another boot it is all there is, and where it shows a
-    time before the last record, nothing is known of how long no dispatcher ran.
+    """Return the time since the last record.
+
+    On the same boot the uptime tells it, whatever the clock was set to. On another boot there is only the
+    clock. Where it shows a time before the last record, it was set back, and nothing is known of how long
+    no dispatcher ran: the least is nothing, so that no deadline is cut short, and the most is longer than
+    any deduplication window, so that nothing is sent twice. Held by
+    `test_elapsed_time_follows_the_boot_clock_when_the_wall_clock_is_set` and
+    `test_nothing_is_retried_after_the_clock_stepped_back`.
     """
     if writer is None:
         return ElapsedBounds(0, 0)
@@ -72,43 +91,69 @@
 
 
 def plan(table: JobTable, leases: LeaseTable, elapsed: ElapsedBounds, now: int) -> list[RecoveryStep]:
-    """Plans a step for each open job, oldest first, and takes over the leases without an end.
+    """Plan a step for each open job, oldest first, and take over the leases whose attempts have no outcome.
+
+    Times of the last process are brought onto the clock of this one, on which `now` is. Deadlines and
+    leases are moved by the least time that can have elapsed, so that none is cut short; the times of
+    attempts by the most, so that nothing is retried past its deduplication window.
 
-    Times of the last process are brought onto our clock, on which `now` is, by the least time that can have
-    gone by, so that a deadline is not cut short; the deduplication window is counted by the most, so that
-    nothing is retried past it.
+    Args:
+        table: The jobs of the log.
+        leases: The leases of this process, which gets those that are taken over.
+        elapsed: The time since the last record.
+        now: The dispatcher's time, in microseconds.
     """
-    steps: list[RecoveryStep] = []
-    offset = now - table.last_recorded_at - elapsed.at_least
-    attempt_offset = now - table.last_recorded_at - elapsed.at_most
-    for job in table.open_jobs():
-        deadline = job.accepted.deadline + offset
-        if deadline <= now:
-            status = TERMINATED_STATUS if job.possibly_executed() else DENIED_STATUS
-            steps.append(FinishJob(job, status))
-            continue
-        step = ResumeJob(job, deadline, [], [])
-        for index, granted in enumerate(job.leases):
-            ended = job.ended_attempts.get(granted.fence)
-            outcome = decode_outcome(ended.outcome) if ended else None
-            if outcome is None:
-                _take_over_lease(granted, leases, offset, deadline, now)
-                step.pending.append(index)
-            sent_at = granted.recorded_at + attempt_offset
-            step.attempts.append(
-                RecoveredAttempt(granted.worker, granted.zone, granted.cell, sent_at, outcome)
-            )
-        steps.append(step)
-    return steps
-
-
-def _take_over_lease(granted: LeaseGranted, leases: LeaseTable, offset: int, deadline: int, now: int) -> None:
-    lease = Lease(
-        granted.job_id,
-        granted.fence,
-        granted.worker,
-        granted.recorded_at + offset,
-        granted.expires_at + offset,
+    planner = _Planner(
+        leases=leases,
+        now=now,
+        offset=now - table.last_recorded_at - elapsed.at_least,
+        attempt_offset=now - table.last_recorded_at - elapsed.at_most,
     )
-    leases.take_over(lease, now)
-    lease.expires_at = min(lease.expires_at, deadline)
+    return [planner.plan(job) for job in table.open_jobs()]
+
+
+@dataclass(frozen=True, slots=True)
+class _Planner:
+    """Plans the step for one job after the other.
+
+    Attributes:
+        leases: The leases of this process.
+        now: The dispatcher's time, in microseconds.
+        offset: Microseconds to add to deadlines and times of leases.
+        attempt_offset: Microseconds to add to the times of attempts.
+    """
+
+    leases: LeaseTable
+    now: int
+    offset: int
+    attempt_offset: int
+
+    def plan(self, job: Job) -> RecoveryStep:
+        deadline = job.accepted.deadline + self.offset
+        if deadline <= self.now:
+            return FinishJob(job, FAILED_STATUS if job.possibly_executed() else REJECTED_STATUS)
+        unfinished = [index for index, granted in enumerate(job.leases) if job.outcome(granted) is None]
+        for index in unfinished:
+            self._take_over(job.leases[index], deadline)
+        attempts = [self._recover_attempt(job, granted) for granted in job.leases]
+        return ResumeJob(job=job, deadline=deadline, attempts=attempts, pending=unfinished)
+
+    def _recover_attempt(self, job: Job, granted: LeaseGranted) -> RecoveredAttempt:
+        return RecoveredAttempt(
+            worker=granted.worker,
+            zone=granted.zone,
+            cell=granted.cell,
+            sent_at=granted.recorded_at + self.attempt_offset,
+            outcome=job.outcome(granted),
+        )
+
+    def _take_over(self, granted: LeaseGranted, deadline: int) -> None:
+        lease = Lease(
+            job_id=granted.job_id,
+            fence=granted.fence,
+            worker=granted.worker,
+            granted_at=granted.recorded_at + self.offset,
+            expires_at=granted.expires_at + self.offset,
+        )
+        self.leases.take_over(lease, self.now)
+        lease.expires_at = min(lease.expires_at, deadline)
--- a/locktide/durable/responses.py
+++ b/locktide/durable/responses.py
@@ -5,17 +5,18 @@
 import json
 
 from locktide.durable.jobs import Job
+from locktide.durable.units import MICROSECONDS_PER_SECOND
 from locktide.protocol import names
 from locktide.transport.client_connection import Response
 
-# Seconds that a client is told to wait before it asks again: workers report progress as often.
+#: Seconds after which a client should query an open job again: workers report progress as often.
 POLL_INTERVAL = 1.0
-# Seconds after which a client may come back where no more jobs are accepted.
-BUSY_RETRY_AFTER = 2.0
+#: Seconds after which a client should submit again where no more jobs are accepted.
+REJECTED_RETRY_AFTER = 2.0
 
 
 def pending_response(job: Job) -> Response:
-    """Returns 202 with the state of a job that is open."""
+    """Return 202 with the state of a job that is open."""
     body = {"id": job.job_id, "state": job.state, "dispatches": len(job.leases)}
     headers = [
         ("Location", names.JOBS + job.job_id),
@@ -27,34 +28,34 @@
 
 
 def final_response(job: Job) -> Response:
-    """Returns the one final response of a job that is finished."""
+    """Return the one final response of a job that is finished."""
     assert job.finished is not None
     headers = [(names.JOB_STATE, job.state.value), ("Location", names.JOBS + job.job_id)]
     if job.finished.retry_after:
-        headers.append(("Retry-After", f"{job.finished.retry_after / 1e6:.3f}"))
+        headers.append(("Retry-After", f"{job.finished.retry_after / MICROSECONDS_PER_SECOND:.3f}"))
     return Response(job.finished.status, job.finished.body, headers)
 
 
-def denied_response(reason: str) -> Response:
-    """Returns 503: the job was not accepted."""
-    return Response(503, f"denied: {reason}\n".encode(), [("Retry-After", f"{BUSY_RETRY_AFTER:g}")])
+def rejected_response(reason: str) -> Response:
+    """Return 503: the job was not accepted."""
+    return Response(503, f"denied: {reason}\n".encode(), [("Retry-After", f"{REJECTED_RETRY_AFTER:g}")])
 
 
 def wait_timed_out_response(job_id: str) -> Response:
-    """Returns 504: the job goes on, but its client's own wait is over."""
+    """Return 504: the job goes on, but its client's own wait is over."""
     return Response(504, b"it is not done yet\n", [("Location", names.JOBS + job_id)])
 
 
 def key_conflict_response() -> Response:
-    """Returns 422: the idempotency key was used for a different request."""
+    """Return 422: the idempotency key was used for a different request."""
     return Response(422, b"this number was used for another submission\n")
 
 
 def id_conflict_response() -> Response:
-    """Returns 503: another request has this id."""
+    """Return 503: another request has this id."""
     return Response(503, b"this id is in use\n")
 
 
 def unknown_job_response() -> Response:
-    """Returns 404: no job has this id."""
+    """Return 404: no job has this id."""
     return Response(404, b"no such job\n")
--- a/locktide/durable/resumption.py
+++ b/locktide/durable/resumption.py
@@ -12,12 +12,18 @@
 from locktide.durable.recovery import ClockReading, FinishJob, RecoveryStep, ResumeJob
 from locktide.transport.client_connection import Response
 
-RESUME_INTERVAL = 0.05  # seconds between two batches of resumed jobs
+#: Batches of resumed jobs a second: small enough ones not to look like a burst to the workers.
 BATCHES_PER_SECOND = 20
+#: Seconds between two batches.
+RESUME_INTERVAL = 1 / BATCHES_PER_SECOND
 
 
 class JobResumption:
-    """Carries out the recovery plan, at a limited rate."""
+    """Carries out the recovery plan, at a limited rate.
+
+    Attributes:
+        batch_size: Jobs that are resumed at once.
+    """
 
     def __init__(self, context: JobContext, completion: JobCompletion) -> None:
         self.batch_size = max(1, int(context.config.resume_rate / BATCHES_PER_SECOND))
@@ -29,7 +35,7 @@
         self.log = context.log
 
     async def recover(self, clocks: ClockReading) -> None:
-        """Recovers all open jobs, after the log was opened and before the dispatcher serves."""
+        """Recover all open jobs, after the log was opened and before the dispatcher serves."""
         table = self.write_ahead_log.table
         elapsed = recovery.elapsed_since(table.writer, table.last_recorded_at, clocks)
         now = self.dispatcher.now()
@@ -41,7 +47,8 @@
                 response = Response(step.status, b"its time was up while no dispatcher ran\n")
                 self.completion.finish(step.job.job_id, response)
         resumed = [step for step in steps if isinstance(step, ResumeJob)]
-        # Those that may still run are only waited for: no new load, and their workers may call at any moment.
+        # Jobs that may still run are only waited for. They are no new load, and their workers may call at
+        # any moment.
         for step in resumed:
             if step.pending:
                 self._resume(step)
@@ -53,7 +60,7 @@
         resumed_count = len(steps) - finished_count
         self.log.emit(
             f"jobs: {contents.record_count} records in {contents.segment_count} segments: "
-            f"{resumed_count} to go on with, {finished_count} past their limit, "
+            f"{resumed_count} resumed, {finished_count} past their deadline, "
             f"{len(contents.torn)} torn ends cut off",
             event="jobs_recovered",
             records=contents.record_count,
@@ -65,7 +72,7 @@
         )
 
     async def _resume_at_rate(self, steps: Sequence[ResumeJob]) -> None:
-        """Resumes jobs oldest first, so many a second: a start must not overload the workers."""
+        """Resume jobs oldest first, at the configured rate: a start must not overload the workers."""
         for index, step in enumerate(steps):
             if index and index % self.batch_size == 0:
                 await asyncio.sleep(RESUME_INTERVAL)
--- /dev/null
+++ b/locktide/durable/units.py
@@ -0,0 +1,5 @@
+"""Units of time: settings and headers are in seconds, everything else in whole microseconds."""
+
+from __future__ import annotations
+
+MICROSECONDS_PER_SECOND = 1_000_000
--- a/locktide/durable/waiters.py
+++ b/locktide/durable/waiters.py
@@ -9,6 +9,7 @@
 from locktide.durable.durable_state import DurableState
 from locktide.durable.preference import Preference
 from locktide.durable.responses import final_response, pending_response, wait_timed_out_response
+from locktide.durable.units import MICROSECONDS_PER_SECOND
 from locktide.protocol.messages import SubmitRequest
 from locktide.transport.client_connection import Response
 
@@ -16,7 +17,12 @@
 
 
 class JobWaiters:
-    """The waiting clients of each job, and when each is answered."""
+    """The waiting clients of each job, and when each gets its response.
+
+    Attributes:
+        waiters_by_job: The responses that wait for a job, by its id.
+        waiters_by_request: The same by the id of the request, which differs where a key was submitted again.
+    """
 
     def __init__(self, state: DurableState, tasks: BackgroundTasks) -> None:
         self.state = state
@@ -27,7 +33,7 @@
     def add(
         self, job_id: str, request: SubmitRequest, preference: Preference, response: ResponseFuture
     ) -> None:
-        """Has `response` set by the final response, or earlier as the client prefers."""
+        """Set `response` to the final response of a job, or to an early one as the client prefers."""
         self.waiters_by_request[request.id] = response
         response.add_done_callback(lambda _: self.waiters_by_request.pop(request.id, None))
         if self.state.is_settled(job_id):
@@ -38,18 +44,18 @@
         if preference.respond_async:
             self.tasks.spawn(self._respond_early(job_id, preference.wait, response))
         else:
-            # Its own wait may be shorter than the job's time, where the job was there before.
+            # The timeout of this request may end before the deadline of the job, which may be an earlier one.
             loop = asyncio.get_running_loop()
-            loop.call_later(request.timeout / 1e6, self._time_out, job_id, response)
+            loop.call_later(request.timeout / MICROSECONDS_PER_SECOND, self._time_out, job_id, response)
 
     def resolve(self, job_id: str, response: Response) -> None:
-        """Answers all clients that wait for a job."""
+        """Send a response to each client that waits for a job."""
         for waiter in self.waiters_by_job.pop(job_id, []):
             if not waiter.done():
                 waiter.set_result(replace(response, headers=list(response.headers)))
 
     def cancel(self, request_id: str) -> None:
-        """A client has gone away; its job goes on."""
+        """Drop the response of a client that has disconnected; its job goes on."""
         if (response := self.waiters_by_request.get(request_id)) is not None:
             response.cancel()
 
@@ -61,11 +67,11 @@
             self.waiters_by_job.pop(job_id, None)
 
     async def _respond_early(self, job_id: str, wait: float, response: ResponseFuture) -> None:
-        """Answers that the job is pending, once it is on the disk and the client's wait is over."""
+        """Respond that the job is pending, once it is on the disk and the client's wait is over."""
         if (acceptance := self.state.accepting.get(job_id)) is not None:
             await asyncio.wait([acceptance])
             if acceptance.exception() is not None:
-                return  # whoever accepts the job answers that it was denied
+                return  # the job was rejected, and its acceptance responds so
         if wait:
             await asyncio.wait([response], timeout=wait)
         if not response.done():
