--- a/tests/durable/log/test_write_ahead_log.py
+++ b/tests/durable/log/test_write_ahead_log.py
@@ -153,7 +153,7 @@
 
         def fail_and_free_space(name: str, size: int) -> None:
             platter.room = None
-            raise OSError(errno.EIO, "input/output error")
+            raise OSError(errno.EIO, f"input/output error: {name} to {size} bytes")
 
         storage.truncate = fail_and_free_space  # type: ignore[method-assign]
         platter.room = 50
--- a/tests/durable/test_crashes.py
+++ b/tests/durable/test_crashes.py
@@ -4,7 +4,7 @@
 
 import asyncio
 from pathlib import Path
-from typing import Any
+from typing import Any, get_args
 
 import pytest
 from durable_helpers import ROOT
@@ -38,7 +38,7 @@
 limit = 9.0
 effect = "at-most-once"
 """
-POINTS = sorted(set(script.CrashPoint.__args__) - set(script.WORKER_CRASH_POINTS))  # type: ignore[attr-defined]
+POINTS = sorted(set(get_args(script.CrashPoint)) - set(script.WORKER_CRASH_POINTS))
 
 
 def run_report(text: str) -> dict[str, Any]:
@@ -55,6 +55,12 @@
 
 @pytest.mark.parametrize("point", POINTS)
 def test_dispatcher_killed_at_a_crash_point_loses_and_duplicates_no_job(point: str) -> None:
+    """A dispatcher dies between two steps of a write, three times in a run, and is started again each time.
+
+    A job that it had acknowledged could be lost, or one that may have run could be sent again. Each
+    accepted job must get one final response, and no effect that must not happen twice may be recorded
+    twice.
+    """
     text = SCENARIO
     for at in (1.0, 3.0, 5.0):
         text += f'[[incident]]\nat = {at}\nfor = 0.6\nwhat = "trap-dispatcher"\nwhom = "d0"\n'
@@ -64,6 +70,11 @@
 
 
 def test_dispatcher_killed_again_during_recovery_loses_and_duplicates_no_job() -> None:
+    """All dispatchers die four times at short intervals, so that most recoveries are cut short.
+
+    A recovery that is not finished must leave the log as good as it was: the next one starts from the same
+    jobs.
+    """
     text = SCENARIO
     for at in (2.0, 2.75, 3.5, 4.25):
         text += f'[[incident]]\nat = {at}\nfor = 0.4\nspread = 0.0\nwhat = "kill-dispatcher"\nwhom = "all"\n'
@@ -71,6 +82,11 @@
 
 
 def test_hung_worker_loses_its_lease_and_its_late_report_has_no_effect() -> None:
+    """Two workers hang with jobs for nine seconds, and report their ends when they go on.
+
+    Their leases have expired by then, and other workers may have done the jobs. The late reports must
+    change nothing, no job may be done twice that must not be, and most jobs must still be done.
+    """
     text = SCENARIO + '[[incident]]\nat = 2.0\nfor = 9.0\nwhat = "hang"\nwhom = "w0,w3"\n'
     report = run_report(text)
     assert check_report(report)["done"] > 0.8 * report["durable"]["accepted"]
@@ -78,10 +94,18 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_random_scenarios_with_kills_lose_and_duplicate_no_job(seed: int) -> None:
+    """Dispatchers are killed at random moments, beside random faults of workers, links and discovery.
+
+    Whatever comes together, no accepted job may be lost or duplicated.
+    """
     check_report(in_virtual_time(random_scenario.draw(seed, durable=True)).told)
 
 
 def test_killed_processes_on_a_real_disk_lose_and_duplicate_no_job(tmp_path: Path) -> None:
+    """The same with real processes, SIGKILL and files: the simulated disk may be kinder than a real one.
+
+    No accepted job may be lost or duplicated, and the restarted processes must say that they recovered jobs.
+    """
     text = SCENARIO.replace("length = 8.0", "length = 5.0").replace("limit = 30.0", "limit = 15.0")
     text += '[[incident]]\nat = 1.5\nfor = 0.5\ngap = 1.5\nspread = 0.0\nwhom = "all"\n'
     text += 'what = "kill-dispatcher"\n'
--- a/tests/durable/test_disk.py
+++ b/tests/durable/test_disk.py
@@ -23,11 +23,17 @@
 
 
 def test_second_dispatcher_is_refused_the_directory(tmp_path: Path) -> None:
+    """An operator starts a second dispatcher with the directory of one that runs.
+
+    Both would append to one log, and each would resume the jobs of the other. The second start must be
+    refused and change no file, whether it is in another process or in the same; after a stop of the first
+    it must succeed.
+    """
     first = WriteAheadLog(DirectoryStorage(tmp_path), 1 << 20)
     first.open()
     files = sorted(tmp_path.iterdir())
     second = subprocess.run(
-        [sys.executable, "-c", OPEN_LOG, str(tmp_path)], cwd=ROOT, capture_output=True, text=True
+        [sys.executable, "-c", OPEN_LOG, str(tmp_path)], cwd=ROOT, capture_output=True, text=True, check=False
     )
     assert "another dispatcher has it" in second.stderr and sorted(tmp_path.iterdir()) == files
     with pytest.raises(DirectoryInUseError):
--- a/tests/durable/test_job_service.py
+++ b/tests/durable/test_job_service.py
@@ -10,9 +10,8 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
 
-from durable_helpers import ROOT
+from durable_helpers import ROOT, ServedInstallation
 from helpers import free_address
 
 from locktide.cli.jobs import export_job
@@ -20,11 +19,14 @@
 from locktide.durable.jobs import JobTable
 from locktide.durable.log.reader import read_log
 
+Address = tuple[str, int]
+JsonResponse = tuple[int, dict[str, str], bytes]
 
-def send(
-    address: Any, method: str, path: str, body: str = "", **header_fields: str
-) -> tuple[int, dict[str, str], bytes]:
-    connection = http.client.HTTPConnection(*address, timeout=10)
+
+def send(address: Address, method: str, path: str, body: str = "", **header_fields: str) -> JsonResponse:
+    """Send a request; return status, headers by lower-case name, and body of the response."""
+    host, port = address
+    connection = http.client.HTTPConnection(host, port, timeout=10)
     headers = {name.replace("_", "-"): value for name, value in header_fields.items()}
     connection.request(method, path, body, headers)
     response = connection.getresponse()
@@ -33,7 +35,8 @@
     return response.status, {name.lower(): value for name, value in response.getheaders()}, data
 
 
-def submit(address: Any, request_id: str, key: str, body: str = "milk", prefer: str = "respond-async") -> Any:
+def submit(address: Address, request_id: str, key: str, body: str = "milk") -> JsonResponse:
+    """Submit a job whose client does not wait."""
     return send(
         address,
         "POST",
@@ -43,43 +46,25 @@
         Req_Kind="record",
         Req_Deadline="9000m",
         Idempotency_Key=key,
-        Prefer=prefer,
+        Prefer="respond-async",
     )
 
 
-def run_cli(*arguments: Any) -> subprocess.CompletedProcess[str]:
+def run_cli(*arguments: object) -> subprocess.CompletedProcess[str]:
+    """Run a command of locktide to its end."""
     return subprocess.run(
         [sys.executable, "-m", "locktide.cli.main", *map(str, arguments)],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
+        check=False,
     )
 
 
-def serve(path: Path) -> subprocess.Popen[str]:
-    process = subprocess.Popen(
-        [sys.executable, "-m", "locktide.cli.main", "serve", str(path), "--log-format", "json"],
-        cwd=ROOT,
-        stderr=subprocess.PIPE,
-        text=True,
-    )
-    assert process.stderr is not None
-    line = process.stderr.readline()
-    while line and json.loads(line)["event"] != "dispatcher_serving":
-        line = process.stderr.readline()
-    return process
-
-
-def test_jobs_are_accepted_queried_and_recovered_after_a_kill(tmp_path: Path) -> None:
-    address = free_address()
-    silent = socket.create_server(("127.0.0.1", 0))  # takes connections and says nothing
-    worker = silent.getsockname()
-    path = tmp_path / "here.toml"
-    directory = tmp_path / "jobs"
-    path.write_text(f"""
+INSTALLATION = """
 [serve]
-listen = "{address[0]}:{address[1]}"
+listen = "{listen}"
 roster = "127.0.0.1:9"
 [durable]
 on = true
@@ -87,13 +72,34 @@
 grades = ["record"]
 [[known]]
 uid = "w0"
-endpoint = "{worker[0]}:{worker[1]}"
+endpoint = "{worker}"
 [[grade]]
 name = "record"
 effect = "numbered"
 limit = 9.0
-""")
-    process = serve(path)
+"""
+
+
+def test_jobs_are_accepted_queried_and_recovered_after_a_kill(
+    tmp_path: Path, installation: ServedInstallation
+) -> None:
+    """A dispatcher is killed while its only worker has a job and says nothing, and is started again.
+
+    Its clients were promised the job: they must still find it, get the same job for the same key, and get
+    the result that the worker reports to the new process under the old lease. A report of a worker without
+    a lease must change nothing. What the commands for operators show must agree, also while the dispatcher
+    runs.
+    """
+    address = free_address()
+    silent_worker = socket.create_server(("127.0.0.1", 0))  # accepts connections and sends nothing
+    worker_host, worker_port = silent_worker.getsockname()
+    directory = tmp_path / "jobs"
+    installation.path.write_text(
+        INSTALLATION.format(
+            listen=f"{address[0]}:{address[1]}", worker=f"{worker_host}:{worker_port}", directory=directory
+        )
+    )
+    process = installation.start()
     status, headers, _ = submit(address, "a1", "k1")
     assert (status, headers["location"], headers["preference-applied"]) == (202, "/jobs/a1", "respond-async")
     assert headers["retry-after"]
@@ -104,11 +110,11 @@
     status, _, body = send(address, "GET", "/jobs/a1")
     assert status == 202 and json.loads(body)["state"] == "open"
     assert list(json.loads(body)) == ["id", "state", "dispatches"]  # keys that clients read
-    refused = run_cli("serve", path)
+    refused = run_cli("serve", installation.path)
     assert refused.returncode == 1 and "another dispatcher has it" in refused.stderr
     process.send_signal(signal.SIGKILL)
     process.wait()
-    process = serve(path)
+    process = installation.start()
     status, headers, body = send(address, "GET", "/jobs/a1")
     assert status == 202, body
 
--- a/tests/durable/test_leases.py
+++ b/tests/durable/test_leases.py
@@ -37,6 +37,7 @@
 
     @rule(job_id=st.sampled_from("ab"), worker=st.sampled_from("xyz"))
     def grant(self, job_id: str, worker: str) -> None:
+        """Grant a lease: its fencing number is the next of its job."""
         lease = self.leases.grant(job_id, worker, self.now)
         earlier_fences = [granted.fence for granted in self.granted if granted.job_id == job_id]
         assert lease.fence == max(earlier_fences, default=0) + 1
@@ -44,12 +45,14 @@
 
     @rule(span=st.integers(1, 9 * SECOND))
     def wait(self, span: int) -> None:
+        """Let time go by."""
         self.now += span
 
     @rule(
         index=st.integers(0, 30), is_final=st.booleans(), has_started=st.booleans(), names_fence=st.booleans()
     )
     def report(self, index: int, is_final: bool, has_started: bool, names_fence: bool) -> None:
+        """Report under any lease, also one that has ended: only one in force is renewed or ended."""
         if not self.granted:
             return
         chosen = self.granted[index % len(self.granted)]
@@ -77,6 +80,7 @@
 
     @rule()
     def expire(self) -> None:
+        """End the leases that have run out: those and no others, each once."""
         expired = [(lease.job_id, lease.fence) for lease in self.leases.expire(self.now)]
         expected = [
             granted for granted in self.granted if not granted.has_ended and self.now >= granted.expires_at
@@ -87,6 +91,7 @@
 
     @invariant()
     def no_lease_outlasts_its_time(self) -> None:
+        """Check that a lease lasts at most the start timeout from now."""
         for leases in self.leases.leases_by_job.values():
             for lease in leases:
                 assert lease.has_ended or lease.expires_at <= self.now + 20 * SECOND
@@ -97,6 +102,13 @@
 
 
 def test_silent_worker_holds_a_job_no_longer_than_its_lease() -> None:
+    """A worker reports that a job has started, hangs, and reports its end after another worker has got the
+    job.
+
+    Were its report to count, the job would be finished with a result that the second worker may contradict.
+    Its lease must end by its time, the second lease must have a greater fencing number, and the late report
+    must be fenced while that of the second worker counts.
+    """
     leases = LeaseTable(LEASE_CONFIG)
     leases.grant("a", "x", 0)
     started = WorkerReport("a", "x", 1, is_final=False, has_started=True)
--- a/tests/durable/test_recovery.py
+++ b/tests/durable/test_recovery.py
@@ -33,22 +33,32 @@
 
 
 def test_elapsed_time_follows_the_boot_clock_when_the_wall_clock_is_set() -> None:
+    """The clock of a machine is set while no dispatcher runs, by ten minutes back or across a reboot.
+
+    Deadlines of recovered jobs would be moved by as much, and a retry could come after its deduplication
+    window. On the same boot the uptime must count alone. On another boot a clock that was set back must
+    leave the elapsed time
+    unknown: no deadline is cut short, and no deduplication window is counted on.
+    """
     last_recorded_at = 1010 * SECOND
-    assert recovery.elapsed_since(
-        WRITER, last_recorded_at, ClockReading(400 * SECOND, "boot", 90 * SECOND)
-    ) == ElapsedBounds(30 * SECOND, 30 * SECOND)
-    assert recovery.elapsed_since(
-        WRITER, last_recorded_at, ClockReading(1025 * SECOND, "other", 3 * SECOND)
-    ) == ElapsedBounds(15 * SECOND, 15 * SECOND)
-    stepped = recovery.elapsed_since(
-        WRITER, last_recorded_at, ClockReading(900 * SECOND, "other", 3 * SECOND)
-    )
-    assert stepped == ElapsedBounds(
-        0, recovery.UNKNOWN_SPAN
-    )  # no deadline is cut short, no deduplication window is counted on
+    same_boot = ClockReading(400 * SECOND, "boot", 90 * SECOND)
+    elapsed = recovery.elapsed_since(WRITER, last_recorded_at, same_boot)
+    assert elapsed == ElapsedBounds(30 * SECOND, 30 * SECOND)
+    other_boot = ClockReading(1025 * SECOND, "other", 3 * SECOND)
+    elapsed = recovery.elapsed_since(WRITER, last_recorded_at, other_boot)
+    assert elapsed == ElapsedBounds(15 * SECOND, 15 * SECOND)
+    clock_set_back = ClockReading(900 * SECOND, "other", 3 * SECOND)
+    elapsed = recovery.elapsed_since(WRITER, last_recorded_at, clock_set_back)
+    assert elapsed == ElapsedBounds(0, recovery.UNKNOWN_SPAN)
 
 
 def test_plan_finishes_waits_and_resumes_oldest_first() -> None:
+    """A dispatcher comes back after some seconds, with jobs in every state in its log.
+
+    A job past its deadline must get its final response, which depends on whether it may have run. A job
+    whose attempt may still run must be waited for, and the others resumed, oldest first, each with the rest
+    of its time.
+    """
     table = table_from(
         WRITER,
         accepted_job("new", 1005 * SECOND),
@@ -76,6 +86,11 @@
 
 
 def test_nothing_is_retried_after_the_clock_stepped_back() -> None:
+    """A machine comes back from a reboot with its clock set back; a job had been sent once before.
+
+    How long ago is not known, so the worker may have dropped its memory of the idempotency key, and a retry
+    would run the job twice. The attempt must count as older than any deduplication window.
+    """
     table = table_from(
         WRITER,
         accepted_job("a", 1001 * SECOND),
@@ -88,10 +103,14 @@
     assert isinstance(step, ResumeJob) and step.attempts[0].sent_at < -recovery.UNKNOWN_SPAN // 2
 
 
+NOW = 10 * SECOND
+
+
 def recover_request(*attempts: RecoveredAttempt, service_class: str = "record") -> list[Any]:
-    """Returns the commands of a scheduler for a request of an earlier process, over two seconds."""
-    scheduler = Scheduler(1, terms(3, 1, False, False, 0.4))
-    now = 10_000_000
+    """Return the commands of a scheduler for a request of an earlier process, over two seconds."""
+    config = terms(most=3, fleet=1, must_ask=False, worst_grade=0.4)
+    scheduler = Scheduler(1, config)
+    now = NOW
     entries = [listed("w0"), listed("w1", cell=1), listed("w2")]
     scheduler.step(now, [EndpointListUpdate(ListUpdateKind.SNAPSHOT, entries)])
     arrival = RequestArrived("a", service_class, now + 5 * SECOND, background=True)
@@ -103,39 +122,64 @@
 
 
 def earlier_attempt(
-    outcome: str | None, worker: str = "w0", age: int = SECOND, cell: int = 0
+    outcome: AttemptOutcome | None, worker: str = "w0", age: int = SECOND, cell: int = 0
 ) -> RecoveredAttempt:
-    return RecoveredAttempt(worker, f"zone-{cell}", cell, 10_000_000 - age, outcome)
+    """Return an attempt that was sent `age` microseconds before the recovery."""
+    return RecoveredAttempt(worker, f"zone-{cell}", cell, NOW - age, outcome)
 
 
-def test_scheduler_resumes_possibly_executed_requests() -> None:
+def test_recovered_request_without_attempts_is_sent() -> None:
     commands = recover_request()
     assert [type(command) for command in commands] == [StartAttempt]
-    commands = recover_request(earlier_attempt(None))  # may still run: waited for
-    assert commands == []
+
+
+def test_recovered_request_whose_attempt_may_still_run_is_waited_for() -> None:
+    """A dispatcher dies while a worker runs a job, and is back before the worker has finished.
+
+    Another attempt would run beside the first. Nothing may be sent while the first has no outcome.
+    """
+    assert recover_request(earlier_attempt(None)) == []
+
+
+def test_recovered_request_that_may_have_run_is_retried_in_its_cell_on_another_worker() -> None:
+    """The connection of an attempt broke before the dispatcher died, so the job may have run.
+
+    Only workers of the same cell remember its idempotency key: elsewhere it would run twice. The cell is
+    the one that the worker had then, also where the worker is not listed any more.
+    """
     commands = recover_request(earlier_attempt(AttemptOutcome.RESET))
-    assert [command.worker for command in commands] == ["w2"]  # inside its cell alone, elsewhere than before
+    assert [command.worker for command in commands] == ["w2"]
     commands = recover_request(earlier_attempt(AttemptOutcome.RESET, worker="unlisted", cell=1))
     assert [command.worker for command in commands] == ["w1"]
-    commands = recover_request(
-        earlier_attempt(AttemptOutcome.RESET, age=5 * SECOND)
-    )  # past the window of four seconds
+
+
+def test_recovered_request_past_its_deduplication_window_is_not_retried() -> None:
+    """The job may have run five seconds ago, and workers remember keys for four.
+
+    A retry would not be recognised as a repeat and would run the job twice.
+    """
+    commands = recover_request(earlier_attempt(AttemptOutcome.RESET, age=5 * SECOND))
     assert not [command for command in commands if isinstance(command, StartAttempt)]
-    commands = recover_request(earlier_attempt(AttemptOutcome.RESET), service_class="cash")  # at most once
+
+
+def test_recovered_request_that_runs_at_most_once_fails_if_it_may_have_run() -> None:
+    """A job that must not run twice was sent before the crash, and may have run or not.
+
+    It must fail rather than be sent again. Where a worker had declined it, it did not run, and must be sent.
+    """
+    commands = recover_request(earlier_attempt(AttemptOutcome.RESET), service_class="cash")
     assert [type(command) for command in commands] == [FailRequest]
-    commands = recover_request(
-        earlier_attempt(AttemptOutcome.FULL), service_class="cash"
-    )  # proven not to have run
+    commands = recover_request(earlier_attempt(AttemptOutcome.FULL), service_class="cash")
     assert [type(command) for command in commands] == [StartAttempt]
-    commands = recover_request(
-        earlier_attempt(AttemptOutcome.FULL),
-        earlier_attempt(AttemptOutcome.FULL),
-        earlier_attempt(AttemptOutcome.FULL),
-    )  # nobody waits: it is retried
+
+
+def test_recovered_request_counts_attempts_that_may_have_run_but_no_declined_ones() -> None:
+    """A job in the background had all its attempts before the crash.
+
+    Attempts that workers declined do not count, as nobody waits for the job: it must be sent again.
+    Attempts that may have run count: the job must fail once it has had as many as it may have.
+    """
+    commands = recover_request(*[earlier_attempt(AttemptOutcome.FULL)] * 3)
     assert [type(command) for command in commands] == [StartAttempt]
-    commands = recover_request(
-        earlier_attempt(AttemptOutcome.RESET),
-        earlier_attempt(AttemptOutcome.RESET),
-        earlier_attempt(AttemptOutcome.RESET),
-    )  # no attempt is left
+    commands = recover_request(*[earlier_attempt(AttemptOutcome.RESET)] * 3)
     assert [type(command) for command in commands] == [FailRequest]
--- a/tests/durable_helpers.py
+++ b/tests/durable_helpers.py
@@ -2,6 +2,9 @@
 
 from __future__ import annotations
 
+import json
+import subprocess
+import sys
 from pathlib import Path
 from typing import Any
 
@@ -15,35 +18,72 @@
 
 
 def accepted_job(job_id: str, at: int = 0, service_class: str = "record", key: str = "") -> JobAccepted:
+    """Return the record of a job that is accepted at some time and given up 100 seconds later."""
     return JobAccepted(
-        job_id,
-        key,
-        "digest",
-        service_class,
-        "POST",
-        f"/{service_class}",
-        [],
-        b"body",
-        at,
-        at + 100 * SECOND,
-        1.0,
+        job_id=job_id,
+        key=key,
+        digest="digest",
+        service_class=service_class,
+        method="POST",
+        target=f"/{service_class}",
+        forwarded_headers=[],
+        body=b"body",
+        recorded_at=at,
+        deadline=at + 100 * SECOND,
+        width=1.0,
     )
 
 
 def granted_lease(
     job_id: str, fence: int = 1, worker: str = "w0", at: int = 0, until: int = 20 * SECOND
 ) -> LeaseGranted:
-    return LeaseGranted(job_id, fence, worker, "zone-0", 0, at, until)
+    """Return the record of a lease in zone 0."""
+    return LeaseGranted(
+        job_id=job_id, fence=fence, worker=worker, zone="zone-0", cell=0, recorded_at=at, expires_at=until
+    )
 
 
 def run_in_virtual_time(work: Any) -> Any:
+    """Run a coroutine in virtual time; return its result."""
     loop = VirtualLoop()  # type: ignore[abstract]
     return loop.run_until_complete(work)
 
 
-def open_log(platter: VirtualDisk, **options: Any) -> WriteAheadLog:
-    log = WriteAheadLog(
-        platter.mount(), options.pop("segment_bytes", 1 << 30), options.pop("group_commit", True)
-    )
-    log.open(**options)
+def open_log(
+    platter: VirtualDisk, segment_bytes: int = 1 << 30, group_commit: bool = True, skip_damaged: bool = False
+) -> WriteAheadLog:
+    """Open a log on a simulated disk."""
+    log = WriteAheadLog(platter.mount(), segment_bytes, group_commit)
+    log.open(skip_damaged)
     return log
+
+
+class ServedInstallation:
+    """Dispatchers that `locktide serve` runs one after the other by one file."""
+
+    def __init__(self, path: Path) -> None:
+        self.path = path
+        self.processes: list[subprocess.Popen[str]] = []
+
+    def start(self) -> subprocess.Popen[str]:
+        """Start a dispatcher, and return it once it serves."""
+        process = subprocess.Popen(
+            [sys.executable, "-m", "locktide.cli.main", "serve", str(self.path), "--log-format", "json"],
+            cwd=ROOT,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
+        self.processes.append(process)
+        assert process.stderr is not None
+        line = process.stderr.readline()
+        while line and json.loads(line)["event"] != "dispatcher_serving":
+            line = process.stderr.readline()
+        return process
+
+    def stop(self) -> None:
+        """Kill what still runs."""
+        for process in self.processes:
+            process.kill()
+            process.wait()
+            assert process.stderr is not None
+            process.stderr.close()
--- a/tests/protocol/test_server_connection.py
+++ b/tests/protocol/test_server_connection.py
@@ -19,7 +19,7 @@
 def exchange_messages(
     data: bytes, generator: random.Random | None = None, http: ServerHttpConnection | None = None
 ) -> tuple[list[Message], bytes]:
-    """Feeds data in random pieces and answers each message; returns the messages and what was written."""
+    """Feed data in random pieces and respond to each message; return the messages and what was written."""
     http = http or ServerHttpConnection(TIMEOUTS, KEYED_CLASSES)
     found: list[Message] = []
     written = b""
