--- a/tests/bench_adapter/test_wire.py
+++ b/tests/bench_adapter/test_wire.py
@@ -9,11 +9,13 @@
 
 import pytest
 
-from locktide.bench_adapter import adapter as host
-from locktide.bench_adapter import wire
+from locktide.bench_adapter import adapter as bench
+from locktide.bench_adapter import line as wire_line
+from locktide.bench_adapter.encoding import encode_commands
 from locktide.scheduler.commands import (
     CancelAttempt,
     CloseIdleConnections,
+    Command,
     FailRequest,
     FetchEndpoints,
     RejectRequest,
@@ -24,6 +26,7 @@
     WriteLog,
 )
 from locktide.scheduler.log_events import WorkerSuspected
+from locktide.scheduler.scheduler import Scheduler
 from locktide.scheduler.types import SuspicionReason
 
 SETTINGS = json.dumps(
@@ -39,19 +42,25 @@
 
 
 def replies(text: str) -> str:
-    machine, out = host.BenchAdapter(), b""
-    lines = machine.lines(io.BytesIO(text.encode()))
+    adapter, out = bench.BenchAdapter(), b""
+    lines = adapter.read_lines(io.BytesIO(text.encode()))
     for opening in lines:
-        out += machine.batch(lines, opening)
+        out += adapter.process_batch(lines, opening)
     return out.decode()
 
 
-def test_a_submission_goes_out_and_ids_come_back_unchanged() -> None:
+def test_request_is_sent_and_ids_come_back_unchanged() -> None:
     text = START + LIST.format("worker-a") + "QUERY Corr=7 Cls=view GiveUpAt=6010.25 Unknown=1\nEOB\n"
     assert replies(text).startswith("AS DispatcherId=3\nFORWARD Corr=7 Worker=worker-a\n")
 
 
-def test_a_sheet_is_read_as_it_stood_when_named() -> None:
+def test_endpoint_list_is_the_one_in_force_when_it_was_named() -> None:
+    """The simulator sends a list under an id, names the id in updates, and later sends another list under it.
+
+    Two instances got updates in one batch, before and after the second list. Were the id looked up at the end
+    of the batch, the first instance would send requests to workers of a later list. Each update has to carry
+    the list as it was at its line.
+    """
     text = START + LIST.format("worker-a") + "TO DispatcherId=4\n" + START.splitlines()[2] + "\n"
     text += LIST.format("worker-b") + "QUERY Corr=7 Cls=view GiveUpAt=6010\nTO DispatcherId=3\n"
     text += "QUERY Corr=7 Cls=view GiveUpAt=6010\nEOB\n"
@@ -60,19 +69,24 @@
     assert "AS DispatcherId=4\nFORWARD Corr=7 Worker=worker-b" in reply
 
 
-def test_a_retired_instance_starts_afresh_in_one_batch() -> None:
+def test_instance_started_after_its_stop_in_one_batch_has_no_earlier_events() -> None:
+    """An instance got a request, was stopped and was started again, all in one batch.
+
+    With the events of its former life the new scheduler would send a request that no longer exists. The
+    events of a batch before a stop must not reach the scheduler after it.
+    """
     text = START + LIST.format("worker-a") + "EOB\nSYNC AtTime=20\nTO DispatcherId=3\n"
     text += "QUERY Corr=7 Cls=view GiveUpAt=6010\nRETIRE\n" + START.splitlines()[2] + "\nEOB\n"
     assert "FORWARD" not in replies(text)
 
 
-def test_empty_batch() -> None:
+def test_empty_batch_has_an_empty_reply() -> None:
     assert replies("SYNC AtTime=1\nEOB\n") == "END\n"
 
 
 def test_times_are_whole_microseconds() -> None:
-    assert wire.micros("8412.2504") == 8412250
-    assert wire.line(SetTimer(4001, 7)) == "WAKE_ME Delay=4.001 Cookie=7"
+    assert wire_line.microseconds("8412.2504") == 8412250
+    assert encode_commands([SetTimer(4001, 7)]) == ["WAKE_ME Delay=4.001 Cookie=7"]
 
 
 @pytest.mark.parametrize(
@@ -96,11 +110,17 @@
     assert run.stderr.startswith(said) and run.stderr.count("\n") == 1
 
 
-def test_an_exception_in_the_decisions_is_handed_in(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: object, now: int, news: list[object]) -> list[object]:
+def test_exception_in_the_scheduler_fails_the_instance(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An exception in one scheduler ended the whole process, and with it all instances that it ran.
+
+    The simulator then had no reply and no reason. The instance at fault has to answer with the error, and the
+    batch has to be completed.
+    """
+
+    def broken(self: object, now: int, events: list[object]) -> list[object]:
         raise ValueError("out of sorts")
 
-    monkeypatch.setattr(host.Scheduler, "step", broken)
+    monkeypatch.setattr(Scheduler, "step", broken)
     assert replies(START + "EOB\n") == "AS DispatcherId=3\nGIVE_IN Line=ValueError: out of sorts\nEND\n"
 
 
@@ -120,10 +140,10 @@
         ),
     ],
 )
-def test_each_command_has_its_line(command: object, line: str) -> None:
-    assert wire.line(command) == line
+def test_command_has_its_line(command: Command, line: str) -> None:
+    assert encode_commands([command]) == [line]
 
 
-def test_an_internal_error_has_no_line() -> None:
+def test_internal_error_has_no_line_and_is_raised() -> None:
     with pytest.raises(RuntimeError, match="out of sorts"):
-        wire.line(ReportInternalError(5, "out of sorts"))
+        encode_commands([ReportInternalError(5, "out of sorts")])
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import GRADES, Checked, listed, submission, terms
 
-from locktide.bench_adapter import wire
+from locktide.bench_adapter.encoding import encode_commands
 from locktide.config import settings, start
 from locktide.config.errors import ConfigError
 from locktide.config.installation.loading import parse_installation
@@ -67,7 +67,7 @@
     drains = made.list(listed("w0", state=EndpointState.DRAINING), kind=ListUpdateKind.DELTA)
     assert CloseIdleConnections("w0") in drains
     assert CloseIdleConnections("w0") in made.end(1, 0, AttemptOutcome.DONE)
-    assert wire.line(CloseIdleConnections("w0")) == "CLOSE Worker=w0"
+    assert encode_commands([CloseIdleConnections("w0")]) == ["CLOSE Worker=w0"]
 
 
 def test_nothing_is_closed_where_no_time_is_stated() -> None:
--- a/tests/test_parsed_values.py
+++ b/tests/test_parsed_values.py
@@ -19,7 +19,8 @@
 import msgspec
 import pytest
 
-from locktide.bench_adapter import wire
+from locktide.bench_adapter import decoding
+from locktide.bench_adapter import line as wire_line
 from locktide.cluster.bootstrap import cluster_config as accord_terms
 from locktide.cluster.config import ClusterConfig as AccordTerms
 from locktide.cluster.fairness.ledger import FairnessConfig as LedgerTerms
@@ -295,15 +296,16 @@
     """The simulator's start messages, a line each."""
     found = []
     for line in path.read_text(encoding="utf-8").splitlines():
-        message, fields = wire.split(line)
-        found.append(
-            [message, wire.integer(fields, "RngSeed"), sections(wire.scheduler_config(fields["Config"]))]
-        )
+        message, fields = wire_line.parse_line(line)
+        config = decoding.decode_config(fields["Config"])
+        found.append([message, wire_line.read_integer(fields, "RngSeed"), sections(config)])
     return {"starts": found}
 
 
 def parse_wire_list(path: Path) -> dict[str, Any]:
-    return {"entries": [wire.item(line) for line in path.read_text(encoding="utf-8").splitlines()]}
+    return {
+        "entries": [decoding.decode_endpoint(line) for line in path.read_text(encoding="utf-8").splitlines()]
+    }
 
 
 def parse_embedded(_: Path) -> dict[str, Any]:
@@ -399,7 +401,7 @@
 
 
 @pytest.mark.parametrize("kind", SHAPES, ids=lambda kind: f"{kind.__module__}.{kind.__name__}")
-def test_a_shape_names_every_field(kind: type) -> None:
+def test_a_shape_names_every_field(kind: type[Any]) -> None:
     if issubclass(kind, msgspec.Struct):
         names = [field.name for field in msgspec.structs.fields(kind)]
     else:
