--- a/tests/cluster/test_borrowing.py
+++ b/tests/cluster/test_borrowing.py
@@ -153,6 +153,59 @@
     assert lenders == {"idle"} and not cluster.meter.overruns()
 
 
+@pytest.mark.parametrize("late", [0, 1, 10 * SECOND])
+@pytest.mark.parametrize(
+    ("loans_until", "shares_until"), [(3 * SECOND, 9 * SECOND), (9 * SECOND, 3 * SECOND)]
+)
+def test_quota_spends_nothing_of_a_loan_once_the_loan_or_its_lease_has_expired(
+    loans_until: int, shares_until: int, late: int
+) -> None:
+    """A dispatcher was stopped while it held a loan, and the loan expired meanwhile.
+
+    When it went on, a request was the first thing to reach it, before its timer. With a loan that ends at the
+    next update only, it would spend what its lender has back by then, and both together would spend more than
+    the lender's whole. A loan must end by the clock alone, at its own expiry or at that of the lease.
+    """
+    expiry = min(loans_until, shares_until)
+
+    def spent_of(now: int) -> set[str | None]:
+        specs = [QuotaSpec("busy"), QuotaSpec("idle", rate=100.0, burst=100.0, lendable=True)]
+        quota = LocalQuota(specs, reserve=0.0, max_processes=3, now=0)
+        quota.update({}, shares_until, {("idle", "busy"): 500_000}, loans_until, 0)
+        return {quota.spend("busy", now) for _ in range(100)}
+
+    assert spent_of(expiry - 1) == {"idle", None}
+    assert spent_of(expiry + late) == {None}
+
+
+def test_borrower_stopped_past_its_loan_spends_none_of_it_before_its_next_tick() -> None:
+    """The same in a running cluster: a borrower is stopped until its loan has expired, then gets requests.
+
+    Nothing else reaches it before them, neither a message nor its timer. Its lender has counted the loan as
+    returned by then. Each request must count against the borrower's own quota or get no token.
+    """
+    cluster = cluster_with((QuotaSpec("busy", 20.0, 20.0, True), QuotaSpec("idle", 50.0, 50.0, True)))
+    run_with_busy_demand(cluster, 14 * SECOND)
+    borrower = next(
+        process
+        for process in cluster.all
+        if process.agent.local_quota.loans and process.agent.allocator is None
+    )
+    quota = borrower.agent.local_quota
+    borrower.pause()
+    while borrower.clock() < quota.loans_until - 20_000:
+        cluster.run(cluster.now + 10_000)
+    assert "idle" in {
+        borrower.agent.spend("busy", borrower.clock()) for _ in range(12)
+    }, "the loan is in force"
+    while borrower.clock() < quota.loans_until:
+        cluster.run(cluster.now + 10_000)
+    assert quota.loans, "nothing has reached it that could have ended the loan"
+    sources = {borrower.agent.spend("busy", borrower.clock()) for _ in range(50)}
+    assert sources <= {"busy", None}
+    assert not quota.loans
+
+
 # --- faults that the checker must find
 
 
