--- a/locktide/config/platform_keys.py
+++ b/locktide/config/platform_keys.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from locktide.scheduler.types import DeduplicationScope, Effect
+from locktide.scheduler.types import DeduplicationScope, Effect, EndpointState
 
 
 class Variable:
@@ -38,7 +38,7 @@
 
 
 class EndpointListKey:
-    """`known` of the start file: an endpoint list, as discovery sends it."""
+    """An endpoint list, as discovery sends it and as `known` of the start file has it."""
 
     VERSION = "rev"
     IS_SNAPSHOT = "all"
@@ -54,6 +54,8 @@
     WORKER_TYPE = "model"
     CELL = "pod_group"
     STATE = "state"
+    RATING = "capacity_hint"
+    STARTED_AT = "boot_ms"  # milliseconds of Unix time
 
 
 class SettingsKey:
@@ -167,5 +169,12 @@
 #: `WeightKind` of the settings, and whether ratings then fall with the load of a worker.
 RATING_KINDS = {"silent": False, "nominal": False, "rough": False, "live": True}
 
-#: `state` of a cached endpoint that takes requests.
+#: `state` of an entry of an endpoint list.
+ENDPOINT_STATES = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
+}
+
+#: `state` of an endpoint that takes requests.
 ACTIVE_ENDPOINT = "active"
--- a/locktide/protocol/discovery.py
+++ b/locktide/protocol/discovery.py
@@ -9,9 +9,9 @@
 from locktide.config.address import Address, parse_address
 from locktide.config.errors import ConfigError
 from locktide.config.json_reader import JsonObject
+from locktide.config.platform_keys import ENDPOINT_STATES, EndpointKey, EndpointListKey
 from locktide.protocol import names
 from locktide.protocol.client_connection import UpstreamRequest
-from locktide.protocol.names import EndpointKey, EndpointListKey
 from locktide.scheduler.events import EndpointEntry
 
 #: Bytes of the body of a list; enough for some tens of thousands of workers.
@@ -90,11 +90,11 @@
 def _read_list(document: JsonObject, skips_malformed: bool) -> DiscoveryUpdate:
     version = document.integer(EndpointListKey.VERSION)
     is_snapshot = document.flag(EndpointListKey.IS_SNAPSHOT)
-    rows = document.items(EndpointListKey.ENTRIES)
+    rows = document.items(EndpointListKey.ENDPOINTS)
     reader = _EntryReader()
     for index, row in enumerate(rows):
         try:
-            reader.add(JsonObject(row, f"{document.key(EndpointListKey.ENTRIES)}[{index}]"))
+            reader.add(JsonObject(row, f"{document.key(EndpointListKey.ENDPOINTS)}[{index}]"))
         except ConfigError as error:
             if not skips_malformed:
                 raise
@@ -155,7 +155,7 @@
         zone=json_entry.text(EndpointKey.ZONE, ""),
         worker_type=json_entry.text(EndpointKey.WORKER_TYPE, ""),
         cell=json_entry.integer(EndpointKey.CELL, 0),
-        state=json_entry.choice(names.ENDPOINT_STATES, EndpointKey.STATE),
-        rating=json_entry.number(EndpointKey.CAPACITY, 1.0),
+        state=json_entry.choice(ENDPOINT_STATES, EndpointKey.STATE),
+        rating=json_entry.number(EndpointKey.RATING, 1.0),
         started_at=json_entry.microseconds(EndpointKey.STARTED_AT, 0),
     )
--- a/locktide/protocol/names.py
+++ b/locktide/protocol/names.py
@@ -1,5 +1,7 @@
 """The names of header fields, paths, JSON keys and states on the wire; each is written here and nowhere else.
 
+Keys of the endpoint list are in `locktide.config.platform_keys`, as the start file has a list, too.
+
 The constants have our names, their values are the platform's. Where the platform has a word for one of our
 enums, a table maps each word to the member.
 """
@@ -8,7 +10,7 @@
 
 from enum import StrEnum
 
-from locktide.scheduler.types import AttemptOutcome, EndpointState
+from locktide.scheduler.types import AttemptOutcome
 
 # Header fields, as they are sent; received ones are compared in lower case.
 REQUEST_ID = "Req-Id"
@@ -63,33 +65,6 @@
 }
 
 
-class EndpointListKey(StrEnum):
-    """Keys of discovery's endpoint list."""
-
-    VERSION = "rev"
-    IS_SNAPSHOT = "all"
-    ENTRIES = "targets"
-
-
-class EndpointKey(StrEnum):
-    """Keys of one entry of the endpoint list."""
-
-    WORKER = "uid"
-    ADDRESS = "endpoint"
-    ZONE = "az"
-    WORKER_TYPE = "model"
-    CELL = "pod_group"
-    STATE = "state"
-    CAPACITY = "capacity_hint"
-    STARTED_AT = "boot_ms"  # milliseconds of Unix time
-
-
-ENDPOINT_STATES = {
-    "active": EndpointState.READY,
-    "leaving": EndpointState.DRAINING,
-    "left": EndpointState.GONE,
-}
-
 # In the query of a request for the endpoint list.
 AFTER_VERSION = "after"
 WAIT_MILLISECONDS = "wait_ms"
--- a/tests/protocol/test_names.py
+++ b/tests/protocol/test_names.py
@@ -2,14 +2,15 @@
 
 from __future__ import annotations
 
+from locktide.config import platform_keys
 from locktide.protocol import names
 from locktide.scheduler.types import AttemptOutcome, EndpointState
 
 
 def test_each_endpoint_state_has_one_word_on_the_wire_and_back() -> None:
-    states = list(names.ENDPOINT_STATES.values())
+    states = list(platform_keys.ENDPOINT_STATES.values())
     assert len(states) == len(set(states)) and set(states) == set(EndpointState)
-    assert list(names.ENDPOINT_STATES) == ["active", "leaving", "left"]
+    assert list(platform_keys.ENDPOINT_STATES) == ["active", "leaving", "left"]
 
 
 def test_each_final_callback_state_has_an_outcome_of_its_own() -> None:
