--- a/locktide/scheduler/policy/slow_start.py
+++ b/locktide/scheduler/policy/slow_start.py
@@ -91,7 +91,7 @@
         While most warming endpoints are full the pooled budget, which counts all of them, would go to the few
         that have capacity: one worker was sent 4 and 7 times what it could do, and fell over. With one
         endpoint for each dispatcher the budget stays spread whoever has capacity
-        (`test_warming_endpoints_share_the_budget_though_only_one_has_capacity`).
+        (`test_warming_workers_share_the_budget_though_only_one_has_capacity`).
         """
         window_ends = self._preferred_at + self._config.current.slow_start.window
         is_over = self._clock.now >= window_ends
--- a/locktide/scheduler/policy/weighted_placement.py
+++ b/locktide/scheduler/policy/weighted_placement.py
@@ -92,7 +92,7 @@
         An endpoint that has just started holds nothing, so by its rating it would be drawn ten times as often
         as the others, by every dispatcher: one was sent four times what it could do and fell over. As one of
         all, by its factor, it is drawn less often than a warm one
-        (`test_an_endpoint_that_has_just_started_is_drawn_less_often_than_the_others`).
+        (`test_a_worker_that_has_just_started_is_drawn_less_often_than_the_others`).
         """
         mean = sum(weights) / max(1, len(weights) - len(warming)) or 1.0
         for place in warming:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,7 +8,7 @@
 import socket
 import subprocess
 import sys
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
@@ -196,7 +196,7 @@
     def list(self, *entries: EndpointEntry, kind: str = ListUpdateKind.SNAPSHOT) -> list[Any]:
         return self.turn(EndpointListUpdate(kind, list(entries)))
 
-    def out(self) -> list[tuple[int, int]]:
+    def out(self) -> Sequence[tuple[int, int]]:
         return [
             (submission, place)
             for submission, shots in self.dispatches.items()
--- /dev/null
+++ b/tests/scheduler/test_load_ratings.py
@@ -0,0 +1,267 @@
+"""Load ratings: draws weighted by them, stale ones, and what else depends on whether load is known."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import replace
+
+import pytest
+from helpers import COLD, GRADES, STEP, Checked, listed, terms
+
+from locktide.scheduler.commands import CancelAttempt, Command, RejectRequest, WriteLog
+from locktide.scheduler.config import CostConfig, ServiceClass
+from locktide.scheduler.events import ConfigReloaded, EndpointEntry
+from locktide.scheduler.log_events import WorkerSuspected
+from locktide.scheduler.policy.outlier_detection import is_suspected
+from locktide.scheduler.types import (
+    AttemptOutcome,
+    DeduplicationScope,
+    Effect,
+    ListUpdateKind,
+    SuspicionReason,
+)
+
+#: Rating of a worker that holds nothing.
+IDLE = 8.0
+
+
+def rated(ratings: dict[str, float], **started_at: int) -> list[EndpointEntry]:
+    """Return list entries with these ratings; `started_at` gives when some of the workers were started."""
+    return [
+        listed(name, rating=rating, started_at=started_at.get(name, 0)) for name, rating in ratings.items()
+    ]
+
+
+def first_draws(ratings: dict[str, float], dispatchers: int = 400, **started_at: int) -> Counter[str]:
+    """Return how many dispatchers, which all have the same ratings, send their first request to each."""
+    drawn: Counter[str] = Counter()
+    for seed in range(dispatchers):
+        checked = Checked(seed, fleet=dispatchers, live=True)
+        checked.list(*rated(dict.fromkeys(ratings, IDLE)))
+        checked.list(*rated(ratings, **started_at), kind=ListUpdateKind.DELTA)
+        checked.arrive(1, "view")
+        checked.pass_time(10 * STEP)
+        drawn[checked.dispatches[1][0]["worker"]] += 1
+    return drawn
+
+
+def test_dispatchers_with_the_same_ratings_draw_in_proportion_to_what_is_free() -> None:
+    """Every dispatcher has the same ratings, about a second late, and one worker is idle.
+
+    If each chose the best rating, the idle worker would be sent everything that comes within that second. It
+    has to be drawn more often than a busy one, and the others still have to be drawn.
+    """
+    drawn = first_draws({f"w{number}": IDLE / 2 for number in range(9)} | {"w9": IDLE})
+    # The idle worker has eight times the weight of one with each core taken.
+    assert 0.35 < drawn["w9"] / 400 < 0.6 and len(drawn) == 10
+
+
+@pytest.mark.parametrize("rating", [0.0, 1e-9, 1e15])
+def test_a_faulty_rating_of_one_worker_costs_few_requests(rating: float) -> None:
+    checked = Checked(fleet=5, live=True)
+    checked.list(*rated({"w0": IDLE, "w1": IDLE, "w2": IDLE}))
+    checked.list(*rated({"w0": rating, "w1": 6.0, "w2": 5.0}), kind=ListUpdateKind.DELTA)
+    for request in range(60):
+        checked.arrive(request, "view")
+        checked.pass_time(20 * STEP)
+        for open_request, attempt in checked.out():
+            checked.end(open_request, attempt, AttemptOutcome.DONE)
+    assert sum(response == "done" for response in checked.answered.values()) > 55
+
+
+class RenewedRatings:
+    """Four workers with some load, whose ratings are renewed by updates of the endpoint list."""
+
+    def __init__(self) -> None:
+        self.checked = Checked(live=True)
+        self.ratings = {f"w{number}": 6.0 for number in range(4)}
+        self.checked.list(*rated(dict.fromkeys(self.ratings, IDLE)))
+        self.checked.list(*rated(self.ratings), kind=ListUpdateKind.DELTA)
+
+    def renew(self, *left_out: str) -> list[Command]:
+        """Renew all ratings but those left out; return the commands that follow."""
+        for name in self.ratings:
+            self.ratings[name] += 0.01
+        self.checked.pass_time(700_000)
+        renewed = {name: rating for name, rating in self.ratings.items() if name not in left_out}
+        return self.checked.list(*rated(renewed), kind=ListUpdateKind.DELTA)
+
+    def first_workers(self, first: int, count: int = 40) -> set[str]:
+        """Return which workers as many at-most-once requests are sent to; their ids begin with `first`."""
+        for request in range(first, first + count):
+            self.checked.arrive(request, "cash")
+            self.checked.pass_time(2 * STEP)
+            for open_request, attempt in self.checked.out():
+                self.checked.end(open_request, attempt, AttemptOutcome.DONE)
+        attempts = [self.checked.dispatches[request] for request in range(first, first + count)]
+        return {each[0]["worker"] for each in attempts if each}
+
+
+def test_a_worker_with_a_stale_rating_gets_no_at_most_once_request_until_it_is_renewed() -> None:
+    """Workers that hung were sent 80 to 109 attempts in 7 s, as many as the others.
+
+    A hung worker runs nothing and reports nothing, so its rating stays at what it was when it still had free
+    cores, and it is drawn on. A rating that is not renewed while most are has to make its worker suspected,
+    and the next renewal has to clear it.
+    """
+    workers = RenewedRatings()
+    assert workers.first_workers(0) == set(workers.ratings)
+    assert WriteLog(WorkerSuspected("w2", SuspicionReason.STALE_RATING)) in workers.renew("w2")
+    assert workers.first_workers(100) == set(workers.ratings) - {"w2"}
+    workers.renew()
+    assert workers.first_workers(200) == set(workers.ratings)
+
+
+def test_an_update_without_new_ratings_suspects_no_worker() -> None:
+    """After a reload the list was sent as a whole, with nothing new in it, and counted as a renewal of all.
+
+    With two such lists each busy worker would have been suspected. Only an update that renews most ratings
+    says something about a rating that it does not renew.
+    """
+    checked = Checked(live=True)
+    checked.list(*rated({"w0": IDLE, "w1": IDLE, "w2": IDLE}))
+    checked.list(*rated({"w0": 4.0, "w1": 5.0, "w2": 6.0}), kind=ListUpdateKind.DELTA)
+    for _ in range(5):
+        checked.list(kind=ListUpdateKind.DELTA)
+        checked.list(listed("w0", rating=4.5), kind=ListUpdateKind.DELTA)
+        checked.list(*rated({"w0": 4.5, "w1": 5.0, "w2": 6.0}))  # a whole list, as after a reload
+    endpoints = checked.dispatcher.endpoints.by_id.values()
+    assert not any(is_suspected(endpoint, checked.now) for endpoint in endpoints)
+
+
+def test_a_worker_that_has_just_started_is_drawn_less_often_than_the_others() -> None:
+    """Incident i56200f: 231 dispatchers sent a worker that had just started 4.1 times what it could do.
+
+    It held nothing, so by its rating it was drawn ten times as often as the others, by every dispatcher. It
+    has to be drawn as one of all, by its slow-start factor.
+    """
+    started_at = 10_000_000 - 1_000_000  # a second ago
+    ratings = {f"w{number}": 3.5 for number in range(9)} | {"w9": IDLE}
+    drawn = first_draws(ratings, w9=started_at)
+    factor = COLD.initial_capacity + (1 - COLD.initial_capacity) / 8
+    assert drawn["w9"] / 400 < 1.6 * factor / 10
+
+
+def test_warming_workers_share_the_budget_though_only_one_has_capacity() -> None:
+    """Within 0.45 s of its start 20 attempts reached one worker, 4.2 times what it could do.
+
+    All other warming workers had answered 'full', and the budget of all of them together went to the one that
+    had not. What all dispatchers send it has to stay within what it may get alone, and it has to get
+    something.
+    """
+    names = [f"w{number}" for number in range(10)]
+    first_attempts: Counter[str] = Counter()
+    for seed in range(200):
+        checked = Checked(seed, fleet=200, live=True)
+        checked.list(*[listed(name, rating=IDLE) for name in names])
+        started_at = checked.now - 3_000_000
+        checked.list(*[listed(name, started_at=started_at, rating=IDLE) for name in names])
+        for name in names[1:]:
+            endpoint = checked.dispatcher.endpoints.by_id[name]
+            endpoint.unavailable_until = checked.now + 5_000_000
+        for request in range(8):
+            checked.arrive(request, "view", hint=300_000)
+        checked.pass_time(500_000)
+        first_attempts.update(each[0]["worker"] for each in checked.dispatches.values() if each)
+    factor = COLD.initial_capacity + (1 - COLD.initial_capacity) * 3 / 8
+    # Attempts of 0.3 s on eight cores, and what the worker may be sent within the window of a second.
+    assert 0 < first_attempts["w0"] * 0.3 / 8 < 0.75 * COLD.overload_factor * factor
+
+
+def workers_of_sixty_requests(connection_cost: float) -> int:
+    """Return how many of ten workers sixty requests are sent to, one after the other."""
+    costs = CostConfig(connection=connection_cost, idle_timeout=5_000_000)
+    checked = Checked(live=True, prices=costs)
+    checked.list(*rated({f"w{number}": IDLE for number in range(10)}))
+    for request in range(60):
+        checked.arrive(request, "view")
+        checked.pass_time(5 * STEP)
+        checked.end(request, 0, AttemptOutcome.DONE)
+    return len({checked.dispatches[request][0]["worker"] for request in range(60)})
+
+
+def test_workers_with_an_idle_connection_are_preferred_where_a_new_one_has_a_cost() -> None:
+    assert workers_of_sixty_requests(connection_cost=0.05) < 6
+    assert workers_of_sixty_requests(connection_cost=0.0) == 10
+
+
+def test_requests_that_may_run_anywhere_draw_a_type_with_a_class_of_its_own_a_quarter_as_often() -> None:
+    """A service class that one worker type runs alone waited 0.5 s for its start in a tenth of cases.
+
+    It queued behind requests that could have run elsewhere. Those have to leave the type to it, without
+    avoiding it altogether.
+    """
+    checked = Checked(live=True)
+    exclusive = ServiceClass(
+        name="bound",
+        effect=Effect.IDEMPOTENT,
+        deduplication_scope=DeduplicationScope.FLEET,
+        deduplication_window=0,
+        latency_objective=250_000,
+        stretch=2.0,
+        timeout=3_000_000,
+        priority_weight=5.0,
+        overdue_weight=0.5,
+        worker_type="slow",
+    )
+    config = replace(terms(3, 3, False, 0.4, live=True), service_classes=[*GRADES, exclusive])
+    checked.turn(ConfigReloaded(config))
+    slow = [f"w{number}" for number in range(5)]
+    fast = [f"w{number}" for number in range(5, 10)]
+    checked.list(
+        *[listed(name, rating=IDLE, kind="slow" if name in slow else "fast") for name in slow + fast]
+    )
+    for request in range(200):
+        checked.arrive(request, "view")
+        checked.pass_time(STEP)
+        checked.end(request, 0, AttemptOutcome.DONE)
+    assert 20 < sum(checked.dispatches[request][0]["worker"] in slow for request in range(200)) < 65
+
+
+@pytest.mark.parametrize(("rating", "is_cancelled"), [(IDLE, True), (IDLE / 2, False)])
+def test_a_late_start_is_cancelled_early_only_while_cores_are_free(rating: float, is_cancelled: bool) -> None:
+    """In a saturated fleet a quarter of the attempts were cancelled in their queues, for a retry elsewhere.
+
+    Seven in ten of the retries were refused as full, and their requests had lost their places. Where no
+    worker has free cores an attempt has to keep its place for the whole slack; where some have, it may move
+    sooner.
+    """
+    checked = Checked(live=True)
+    checked.list(*rated({f"w{number}": IDLE for number in range(6)}))
+    checked.list(*rated({f"w{number}": rating for number in range(6)}), kind=ListUpdateKind.DELTA)
+    checked.arrive(1, "view")
+    checked.pass_time(300_000)  # of a slack of 500 ms
+    assert any(isinstance(command, CancelAttempt) for command in checked.orders) == is_cancelled
+
+
+def test_a_request_that_was_refused_as_full_pauses_before_its_next_attempt() -> None:
+    """Of 427 requests that were rejected in an overload 103 had used up all attempts within 0.1 to 0.5 s.
+
+    Every worker was full, and each refusal was followed by the next attempt at once. The attempts that a
+    request may have must be spread over its queue timeout.
+    """
+    checked = Checked(live=True)
+    checked.list(*rated({f"w{number}": IDLE for number in range(6)}))
+    checked.arrive(1, "record")
+    checked.end(1, 0, AttemptOutcome.FULL)
+    checked.pass_time(2 * STEP)
+    assert len(checked.dispatches[1]) == 1 and 1 not in checked.answered
+    checked.pass_time(200_000)
+    assert len(checked.dispatches[1]) == 2
+
+
+def test_a_request_without_attempts_left_is_rejected_at_once() -> None:
+    """A request had used up its attempts, and its client waited on for seconds until the deadline.
+
+    Nothing can be done for it any more. It has to be rejected with the outcome of its last attempt, while its
+    client still has time for a retry.
+    """
+    checked = Checked(live=True)
+    checked.list(*rated({f"w{number}": IDLE for number in range(6)}))
+    checked.arrive(1, "record")
+    for attempt in range(checked.most):
+        commands = checked.end(1, attempt, AttemptOutcome.FULL)
+        if attempt < checked.most - 1:
+            checked.pass_time(300_000)
+    assert [each.request_id for each in commands if isinstance(each, RejectRequest)] == [1]
+    assert checked.arrivals[1].deadline - checked.now > 4_000_000, "its client has long to wait yet"
