--- a/locktide/scheduler/policy/slow_start.py
+++ b/locktide/scheduler/policy/slow_start.py
@@ -18,6 +18,7 @@
 from locktide.scheduler.estimators.decaying_sum import DecayingSum
 from locktide.scheduler.estimators.random import LinearCongruentialGenerator
 from locktide.scheduler.state import ActiveConfig, Clock, Endpoint, EndpointTable, FleetEstimates, Request
+from locktide.scheduler.state.endpoint import INITIAL_SLOW_START_WINDOW
 
 #: Largest single request that a warming endpoint may be sent where our share of its budget is smaller, as a
 #: fraction of its whole budget for one window. Two such requests in one window must stay under the overload
@@ -33,8 +34,6 @@
 #: How often in a window the factors of all warming endpoints are summed. It costs CPU, and they change
 #: slowly.
 SUMS_PER_WINDOW = 16
-#: Window of the sums until the first request is counted, in microseconds.
-INITIAL_WINDOW = 1_000_000
 
 
 class SlowStartBudget:
@@ -54,7 +53,7 @@
         self._random = random
         self._endpoints = endpoints
         self._estimates = estimates
-        self._sent = DecayingSum(INITIAL_WINDOW)  # to all warming endpoints, in need
+        self._sent = DecayingSum(INITIAL_SLOW_START_WINDOW)  # to all warming endpoints, in need
         self._total_factor = 0.0
         self._summed_at = 0  # when the total was last computed, in microseconds
         self._drawn_at = 0  # when the rest of the pooled budget was last drawn for, in microseconds
