--- a/locktide/scheduler/policy/attempt_outcomes.py
+++ b/locktide/scheduler/policy/attempt_outcomes.py
@@ -46,7 +46,8 @@
         """Count the attempt as sent from now on."""
         if attempt := self.requests.find_attempt(event.request_id, event.attempt):
             # The time that a new connection takes to open would make prompt starts look late, and the
-            # concurrency limits of idle workers fall.
+            # concurrency limits of idle workers fall
+            # (test_a_slow_connection_does_not_make_a_prompt_start_late).
             attempt.sent_at = self.clock.now
 
     def on_started(self, event: AttemptStarted) -> None:
--- a/locktide/scheduler/policy/outlier_detection.py
+++ b/locktide/scheduler/policy/outlier_detection.py
@@ -122,7 +122,7 @@
         sent again.
         """
         # A client that sends requests which fail anywhere would have the workers at which they show
-        # suspected, and soon every worker (test_a_flood_of_requests_that_fail_anywhere_blames_no_worker).
+        # suspected, and soon every worker (test_a_flood_of_requests_that_fail_anywhere_suspects_no_worker).
         # So a request that may still be retried accuses nobody yet, and while most errors were requests'
         # own, one alone does not.
         now = self._clock.now
@@ -161,7 +161,7 @@
         endpoint.last_heard_at = now
         endpoint.successes.add(1.0, now)
         # A worker that has come back must not stay suspected for the failures of its outage: two successes
-        # outweigh one failure.
+        # outweigh one failure (test_a_success_halves_the_recorded_failures_of_a_worker).
         endpoint.failures.add(-FAILURES_LOST_BY_SUCCESS * endpoint.failures.read(now), now)
         for failed_at in attempt.request.error_endpoints:
             self._endpoint_errors.add(1.0, now)
@@ -185,7 +185,11 @@
         return draw_beta(self._random, 1 + successes, 1 + failures) > MIN_HEALTH_FOR_PROBE
 
     def suspects_most(self) -> bool:
-        """Return whether more than half of the ready endpoints are suspected."""
+        """Return whether more than half of the ready endpoints are suspected.
+
+        A fault outside the workers suspects them all, and if none of them were used every request would be
+        rejected (test_requests_are_sent_while_every_worker_is_suspected).
+        """
         now = self._clock.now
         ready = self._endpoints.candidates[None]
         return 2 * sum([is_suspected(endpoint, now) for endpoint in ready]) > len(ready)
--- a/locktide/scheduler/policy/retries.py
+++ b/locktide/scheduler/policy/retries.py
@@ -62,7 +62,8 @@
     def back_off(self, request: Request) -> None:
         """Let the request wait before its next attempt, after a worker was full."""
         # While every worker is full, a request would otherwise use up its attempts in a small part of its
-        # queue timeout and fail, though a worker has room soon after.
+        # queue timeout and fail, though a worker has capacity soon after
+        # (test_full_workers_do_not_use_up_every_attempt_at_once).
         timeout = self._shedder.queue_timeout(request)
         request.not_before = self._clock.now + timeout // self._config.current.retry.max_attempts
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import replace
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeAlias
 
 from locktide.config import start
 from locktide.dispatcher.dispatcher import Dispatcher
@@ -19,7 +19,14 @@
 from locktide.protocol import messages as clients
 from locktide.protocol import names as wire_names
 from locktide.protocol.client_connection import UpstreamRequest, UpstreamResponse
-from locktide.scheduler.commands import CancelAttempt, FailRequest, RejectRequest, SetTimer, StartAttempt
+from locktide.scheduler.commands import (
+    CancelAttempt,
+    Command,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+)
 from locktide.scheduler.config import (
     ClientConfig,
     CostConfig,
@@ -37,6 +44,7 @@
     ClientDisconnected,
     EndpointEntry,
     EndpointListUpdate,
+    Event,
     RequestArrived,
     TimerFired,
 )
@@ -49,11 +57,16 @@
     Effect,
     EndpointState,
     ListUpdateKind,
+    RequestId,
 )
 from locktide.transport.client_connection import Response
 from locktide.transport.log import Log
 
 STEP, SLACK, GRACE = 4_000, 16_000, 250_000
+# For annotations inside classes that have a method `list`.
+Shots: TypeAlias = list[dict[str, Any]]
+OpenShots: TypeAlias = list[tuple[Any, int]]
+Outcomes: TypeAlias = list[AttemptOutcome]
 GRADES = [
     ServiceClass(
         "view", Effect.IDEMPOTENT, DeduplicationScope.FLEET, 0, 250_000, 2.0, 3_000_000, 5.0, 0.5, None
@@ -103,7 +116,7 @@
 
 def listed(
     name: str,
-    state: str = EndpointState.READY,
+    state: EndpointState = EndpointState.READY,
     started_at: int = 0,
     cell: int = 0,
     rating: float = 1.0,
@@ -149,9 +162,9 @@
         self.most = 3
         self.dispatcher = Scheduler(seed, terms(self.most, fleet, must_ask, worst_grade, live, prices))
         self.grades = {grade.name: grade for grade in GRADES}
-        self.arrivals: dict[int, RequestArrived] = {}
-        self.answered: dict[int, str] = {}
-        self.dispatches: dict[int, list[dict[str, Any]]] = {}
+        self.arrivals: dict[RequestId, RequestArrived] = {}
+        self.answered: dict[RequestId, str] = {}
+        self.dispatches: dict[RequestId, Shots] = {}
         self.workers: dict[str, EndpointEntry] = {}
         self.timers: list[tuple[int, int]] = []
         self.cold: dict[tuple[str, int], list[tuple[int, float]]] = {}
@@ -190,13 +203,13 @@
         limit_at = self.now + self.grades[grade].timeout
         return self.turn(RequestArrived(submission, grade, limit_at, width, hint))
 
-    def end(self, submission: int, shot: int, outcome: str) -> list[Any]:
+    def end(self, submission: RequestId, shot: int, outcome: AttemptOutcome) -> list[Any]:
         return self.turn(AttemptEnded(submission, shot, outcome, outcome == AttemptOutcome.DONE))
 
-    def list(self, *entries: EndpointEntry, kind: str = ListUpdateKind.SNAPSHOT) -> list[Any]:
+    def list(self, *entries: EndpointEntry, kind: ListUpdateKind = ListUpdateKind.SNAPSHOT) -> list[Any]:
         return self.turn(EndpointListUpdate(kind, list(entries)))
 
-    def out(self) -> Sequence[tuple[int, int]]:
+    def out(self) -> OpenShots:
         return [
             (submission, place)
             for submission, shots in self.dispatches.items()
@@ -242,7 +255,7 @@
         elif type(order) is CancelAttempt:
             assert order.attempt < len(self.dispatches[order.request_id])
 
-    def held(self, submission: int) -> list[dict[str, Any]]:
+    def held(self, submission: RequestId) -> Shots:
         return [shot for shot in self.dispatches[submission] if shot["outcome"] not in PROVEN_NOT_RUN]
 
     def check_dispatch(self, order: StartAttempt) -> None:
@@ -332,9 +345,9 @@
         self.turns: list[tuple[int, list[Any]]] = []
         turn = self.node.scheduler.step
 
-        def noted(now: int, news: list[Any]) -> list[Any]:
-            self.turns.append((now, news))
-            return turn(now, news)
+        def noted(now: int, events: Sequence[Event]) -> list[Command]:
+            self.turns.append((now, list(events)))
+            return turn(now, events)
 
         self.node.scheduler.step = noted  # type: ignore[method-assign]
 
@@ -377,13 +390,13 @@
             clients.Callback(name, worker, state, 0.0, wire_names.CALLBACK_OUTCOMES.get(state), result)
         )
 
-    def list(self, worker: str, state: str, started_at: int = 0) -> None:
+    def list(self, worker: str, state: EndpointState, started_at: int = 0) -> None:
         entry = listed(worker, state, started_at)
         self.node.endpoint_list.apply(
             discovery.DiscoveryUpdate(2, False, [entry], {worker: ("127.0.0.1", 9)})
         )
 
-    def outcomes(self) -> list[str]:
+    def outcomes(self) -> Outcomes:
         return [piece.outcome for _, news in self.turns for piece in news if type(piece) is AttemptEnded]
 
 
--- a/tests/scheduler/test_decisions.py
+++ b/tests/scheduler/test_decisions.py
@@ -22,7 +22,7 @@
 from locktide.scheduler.policy.concurrency_limit import has_capacity
 from locktide.scheduler.policy.outlier_detection import is_suspected
 from locktide.scheduler.scheduler import Scheduler
-from locktide.scheduler.types import AttemptOutcome, EndpointState, ListUpdateKind
+from locktide.scheduler.types import AttemptOutcome, EndpointState, ListUpdateKind, SuspicionReason
 
 OUTCOMES = [
     AttemptOutcome.DONE,
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_random_days_keep_the_rules(seed: int) -> None:
+def test_random_days_keep_the_four_rules(seed: int) -> None:
     dice = random.Random(seed)
     service = Checked(seed, fleet=dice.randint(1, 5), must_ask=seed % 2 == 0)
     names = [f"w{n}" for n in range(dice.randint(1, 8))]
@@ -83,7 +83,7 @@
     assert not service.dispatcher.requests.open, "an ended submission is still held"
 
 
-def test_same_news_same_orders() -> None:
+def test_the_same_events_give_the_same_commands() -> None:
     first, second = Checked(seed=5), Checked(seed=5)
     for service in (first, second):
         service.list(*[listed(f"w{n}") for n in range(5)])
@@ -93,7 +93,7 @@
     assert first.orders == second.orders
 
 
-def test_oldest_goes_first() -> None:
+def test_the_oldest_waiting_request_is_sent_first() -> None:
     service = Checked()
     service.arrive(1, "cash")
     service.pass_time(STEP)
@@ -102,7 +102,7 @@
     assert [order.request_id for order in orders if type(order) is StartAttempt] == [1]
 
 
-def test_full_rejoins_and_may_go_anywhere() -> None:
+def test_after_a_full_worker_a_request_may_be_sent_to_any_other() -> None:
     service = Checked()
     service.list(listed("w0", cell=0))
     service.arrive(1, "record")
@@ -112,14 +112,14 @@
     assert [shot["worker"] for shot in service.dispatches[1]] == ["w0", "w1"]
 
 
-def test_no_worker_known_is_denied_in_time() -> None:
+def test_without_a_known_worker_a_request_is_rejected_in_time() -> None:
     service = Checked()
     service.arrive(1, "cash")
     service.pass_time(6_000_000)
     assert service.answered[1] == "denied"
 
 
-def test_error_of_at_most_once_work_is_terminated_at_once() -> None:
+def test_an_error_fails_an_at_most_once_request_at_once() -> None:
     service = Checked()
     service.list(listed("w"))
     service.arrive(1, "cash")
@@ -127,7 +127,7 @@
     assert [type(order) for order in orders if type(order) is not WriteLog] == [FailRequest]
 
 
-def test_list_is_asked_for_and_asked_again_after_failure() -> None:
+def test_the_endpoint_list_is_polled_and_polled_again_after_a_failure() -> None:
     service = Checked(must_ask=True)
     service.list(kind=ListUpdateKind.CACHED)
     assert WatchEndpoints(True) in service.pass_time(5_000_000)
@@ -138,8 +138,13 @@
 # --- failures found -------------------------------------------------------------------------------------
 
 
-def test_no_room_anywhere_still_answers_in_time() -> None:
-    """Overload days: a round that ended for want of room skipped the check of the time limit."""
+def test_requests_are_answered_in_time_while_no_worker_has_capacity() -> None:
+    """On overload days a round ended as soon as no worker had capacity.
+
+    The check of queue deadlines came after that in the same round, so it was skipped. Requests in the pool
+    passed their deadlines and their clients got no response. Every request must have its response by its
+    deadline, also while no round places anything.
+    """
     service = Checked()
     service.list(listed("w"))
     for submission in range(20):
@@ -148,8 +153,12 @@
     assert len(service.answered) == 20
 
 
-def test_a_round_without_room_draws_nothing() -> None:
-    """A pool in front of 180 full workers used up the CPU of a day."""
+def test_a_round_without_capacity_draws_nothing() -> None:
+    """On a day with 180 full workers a pool of waiting requests used up the CPU of its dispatcher.
+
+    Each round drew an endpoint for each request, though none had capacity. The dispatcher was late for
+    everything else. A round must not draw while no endpoint has capacity.
+    """
     service = Checked()
     service.list(listed("w"))
     for submission in range(20):
@@ -159,8 +168,13 @@
     assert service.dispatcher.random.state == before
 
 
-def test_withdrawn_work_is_not_terminated_while_it_may_still_run() -> None:
-    """Numbered work that was withdrawn late in its slack was terminated once back in the pool."""
+def test_a_cancelled_request_is_kept_while_an_attempt_may_still_help() -> None:
+    """A request with an idempotency key was cancelled at one worker for a retry, late in its slack.
+
+    Back in the pool its queue deadline was over already, so it failed at once, although its client went on
+    waiting. What may have run must wait as long as an attempt can help, as a late response is better than
+    none.
+    """
     service = Checked()
     service.list(listed("w0"), listed("w1"))
     service.arrive(1, "view")
@@ -171,16 +185,25 @@
     assert 1 not in service.answered
 
 
-def test_work_bound_to_a_cell_keeps_its_place_in_a_queue() -> None:
-    """Withdrawing numbered work for want of a start traded its place for a worse one."""
+def test_a_request_bound_to_a_cell_keeps_its_place_in_a_queue() -> None:
+    """Requests with idempotency keys were cancelled when their start was late, although their repeats may be
+    sent to one cell only. Each gave up its place in the queue of one worker for a later place in that of
+    another. They ended later than without a retry. Such a request must stay until its attempt is as good
+    as lost.
+    """
     service = Checked()
     service.list(listed("w0"), listed("w1"))
     service.arrive(1, "record")
     assert not [order for order in service.pass_time(2_000_000) if type(order) is CancelAttempt]
 
 
-def test_an_unreachable_worker_is_soon_left_alone() -> None:
-    """A site that could not be reached drew three in four sends."""
+def test_an_unreachable_worker_is_soon_sent_probes_only() -> None:
+    """One site could not be reached, and its workers refused connections at once.
+
+    They had nothing in flight and so looked like the emptiest ones. Three in four attempts were sent there,
+    each of them lost. A worker that refuses must be suspected after its first failures and be sent a few
+    probes only.
+    """
     service = Checked()
     service.list(*[listed(f"w{n}") for n in range(4)])
     for submission in range(200):
@@ -193,20 +216,28 @@
     assert 1 <= tried <= 12
 
 
-def test_a_fault_of_all_workers_is_no_ones() -> None:
-    """With every worker doubtful, shunning them all would deny everything."""
+def test_requests_are_sent_while_every_worker_is_suspected() -> None:
+    """A fault outside the workers made every one of them suspected at the same time.
+
+    With nobody left to send to, every request was rejected, although the workers were sound. While most
+    endpoints are suspected, suspicion tells nothing, and requests must be sent all the same.
+    """
     service = Checked()
     service.list(*[listed(f"w{n}") for n in range(4)])
     for worker in service.dispatcher.endpoints.by_id.values():
         for _ in range(5):
-            service.dispatcher.outliers.record_failure(worker, "a fault of all")
+            service.dispatcher.outliers.record_failure(worker, SuspicionReason.RESET)
     service.arrive(1, "view")
     service.pass_time(STEP * 2)
     assert service.dispatches[1]
 
 
-def test_long_slack_does_not_fill_the_pool() -> None:
-    """In an overload the grade with the shortest slack got nothing, as others waited ten times as long."""
+def test_a_class_with_long_slack_waits_no_longer_than_one_with_short_slack() -> None:
+    """In an overload the pool was full of requests of classes with a long slack, which waited ten times as
+    long as others. Requests of the class with the shortest slack were rejected before they were placed:
+    that class got nothing. Where the worst-served class decides the objective, every class must wait
+    alike; where it counts little, long slack may be used.
+    """
     service = Checked()
     service.arrive(1, "view")
     service.arrive(2, "record")
@@ -219,8 +250,12 @@
     assert first.queue_deadline < second.queue_deadline
 
 
-def test_one_of_many_dispatchers_rests_at_a_crowded_worker() -> None:
-    """Seventeen dispatchers that each keep one submission on every worker leave no gate at all."""
+def test_one_of_many_dispatchers_pauses_between_attempts_at_one_worker() -> None:
+    """Seventeen dispatchers shared a worker, and each kept one request in flight there, as its least limit
+    was one. Together they held seventeen requests at two slots, and nothing limited them. Where a
+    dispatcher's share of a worker is under one slot, it must pause after each attempt, so that it holds
+    its share on average.
+    """
     service = Checked(fleet=17)
     service.list(listed("w"))
     service.arrive(0, "cash")
@@ -232,16 +267,25 @@
     assert not service.dispatches[1]
 
 
-def test_a_heavy_hint_is_not_denied_at_once() -> None:
-    """Work hinted to run near its time limit was denied on arrival, though a fast worker could end it."""
+def test_a_request_with_a_heavy_work_hint_is_not_rejected_at_once() -> None:
+    """A client hinted that its request would run nearly as long as its timeout.
+
+    The request had no slack by that, and was rejected on arrival. A fast worker would have ended it in
+    time, and hints are rough. A request must be sent while half of its hinted run still fits.
+    """
     service = Checked()
     service.list(listed("w"))
     service.arrive(1, "record", hint=6_500_000)
     assert service.dispatches[1]
 
 
-def test_no_stretch_is_no_reason_to_deny_at_once() -> None:
-    """A grade whose soft limit does not grow with the work was denied on arrival while no run was known."""
+def test_a_class_without_stretch_is_not_rejected_while_no_run_is_known() -> None:
+    """A class had a latency objective that does not grow with the work.
+
+    Before any run was known, its first guess of a run used up the objective, so there was no slack and each
+    request was rejected on arrival. No run ever became known by that. Such a class must keep a part of its
+    objective as slack.
+    """
     service = Checked()
     classes = [replace(grade, stretch=0.0) if grade.name == "cash" else grade for grade in GRADES]
     service.turn(ConfigReloaded(replace(terms(3, 3, False, 0.4), service_classes=classes)))
@@ -250,8 +294,12 @@
     assert service.dispatches[1]
 
 
-def test_work_beyond_its_share_is_denied_first() -> None:
-    """In an overload a third of what was served was beyond its tenant's share and earned next to nothing."""
+def test_requests_beyond_the_quota_are_rejected_first() -> None:
+    """In an overload a third of what was served was beyond its tenant's quota, and earned next to nothing.
+
+    Requests within their quotas were rejected meanwhile, as both waited equally long. What is beyond its
+    quota must have the earlier queue deadline.
+    """
     service = Checked()
     for submission in range(40):
         service.turn(RequestArrived(submission, "view", service.now + 3_000_000, tenant="dairy"))
@@ -259,8 +307,13 @@
     assert held[0].queue_deadline > held[39].queue_deadline
 
 
-def test_many_dispatchers_together_warm_a_cold_worker() -> None:
-    """With 76 dispatchers a fresh worker got nothing until it was warm: no submission fits a 76th of it."""
+def test_many_dispatchers_together_send_work_to_a_warming_worker() -> None:
+    """A worker restarted in a fleet of 76 dispatchers.
+
+    Each of them may send it a 76th of what it takes while it warms up, and no request is that small. So it
+    got nothing until it was warm. Some of the dispatchers must send it a request, and all of them together
+    no more than it can take.
+    """
     sent = 0
     for seed in range(76):
         service = Checked(seed, fleet=76)
@@ -272,8 +325,12 @@
     assert 1 <= sent <= 8
 
 
-def test_draws_follow_the_pace_of_a_kind() -> None:
-    """Slow kinds got as much as fast ones where nobody sees enough of one worker to learn its cap."""
+def test_the_estimated_speed_of_a_worker_type_follows_its_run_times() -> None:
+    """With many dispatchers nobody sees enough of one worker to learn its concurrency limit.
+
+    Slow worker types were sent as much as fast ones, and their requests were late. The speeds by which
+    draws are accepted must follow the run times of each worker type.
+    """
     service = Checked(fleet=76)
     throughput = service.dispatcher.estimates.throughput
     for _ in range(20):
@@ -283,8 +340,12 @@
     assert speeds["box"] == 1.0 and 0.1 < speeds["crate"] ** 2 < 0.25
 
 
-def test_a_good_end_halves_what_stands_against_a_worker() -> None:
-    """So that one that has come back is not shunned until its failures have faded, some ten seconds."""
+def test_a_success_halves_the_recorded_failures_of_a_worker() -> None:
+    """A worker came back after an outage and ended what it was sent well.
+
+    It stayed suspected until its failures had faded, some ten seconds, and its capacity was not used. Each
+    success must halve its recorded failures, so that two of them clear one failure.
+    """
     service = Checked(fleet=1)
     service.list(listed("w"))
     worker = service.dispatcher.endpoints.by_id["w"]
@@ -300,8 +361,12 @@
     assert records == [1.0, 0.5, 0.25] and suspected == [True, True, False]
 
 
-def test_slow_progress_makes_a_worker_doubtful() -> None:
-    """Work kept going to workers that ran everything four to ten times slower."""
+def test_slow_progress_makes_a_worker_suspected() -> None:
+    """Some workers ran everything four to ten times slower than the others, and ended it all the same.
+
+    Nothing was recorded as a failure, so requests went on to them and were late. A report of progress from
+    which a run far longer than usual follows must make the worker suspected.
+    """
     service = Checked()
     service.list(listed("w"))
     service.arrive(1, "record")
@@ -311,8 +376,12 @@
     assert is_suspected(service.dispatcher.endpoints.by_id["w"], service.now)
 
 
-def test_bound_work_leaves_a_queue_in_which_it_is_lost() -> None:
-    """A worker stuck on heavy work held a queue until its clients gave up."""
+def test_a_request_bound_to_a_cell_is_cancelled_once_it_is_presumed_lost() -> None:
+    """A worker was stuck on heavy requests and its queue did not move.
+
+    Requests that may be repeated in its cell only kept their places in that queue until their clients gave
+    up. Once half of the timeout is over without a start, such an attempt must be cancelled for a retry.
+    """
     service = Checked()
     service.list(listed("w0"), listed("w1"))
     service.arrive(1, "record")
@@ -320,8 +389,13 @@
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_a_new_connection_does_not_make_a_start_late(told: bool) -> None:
-    """Releases on sockets: the first dispatch to each worker seemed late, and its cap stayed at the floor."""
+def test_a_slow_connection_does_not_make_a_prompt_start_late(told: bool) -> None:
+    """After each release on sockets the first attempt to each worker had to open a connection.
+
+    That time counted as a part of the start, which seemed late, and the concurrency limits of all workers
+    stayed at their floor. The start must be measured from when the last byte was sent, where that is
+    reported.
+    """
     service = Checked(fleet=1)
     service.list(listed("w"))
     worker = service.dispatcher.endpoints.by_id["w"]
@@ -345,8 +419,15 @@
         AttemptOutcome.FULL,
     ],
 )
-def test_what_no_worker_took_up_tells_nothing_of_its_load(outcome: str) -> None:
-    """Bad clients on sockets: what workers turned away as such cut their caps and made them doubtful."""
+def test_an_outcome_that_is_not_the_workers_leaves_its_limit_and_health_alone(
+    outcome: AttemptOutcome,
+) -> None:
+    """Bad clients sent messages that every worker rejected as malformed.
+
+    Each rejection counted as a late start and as a failure, so sound workers lost their concurrency limits
+    and became suspected. Outcomes that say nothing of a worker must change neither; a full worker's limit
+    falls.
+    """
     service = Checked(fleet=1)
     service.list(listed("w"))
     worker = service.dispatcher.endpoints.by_id["w"]
@@ -357,8 +438,12 @@
     assert not is_suspected(worker, service.now)
 
 
-def test_slow_progress_is_no_blame_while_few_runs_are_known() -> None:
-    """After a start on sockets: a third of the workers was avoided, as the first guess of a run is short."""
+def test_slow_progress_suspects_nobody_while_few_runs_are_known() -> None:
+    """Just after a start on sockets a third of the workers was suspected.
+
+    The first guess of a run is the latency objective, and sound workers that ran longer than a few times of
+    it looked slow. While few runs of a class are known, no progress may count as slow.
+    """
     service = Checked()
     service.list(listed("w"))
     service.arrive(1, "view")
@@ -369,17 +454,22 @@
 
 
 @pytest.mark.parametrize("grades, slots", [(GRADES, 1.0), (GRADES[:4], 2.0)])
-def test_two_dispatchers_do_not_leave_half_of_the_slots_empty(
-    grades: list[ServiceClass], slots: float
-) -> None:
-    """Every day on sockets: at half load one submission in ten was denied with half of the slots free."""
+def test_the_least_limit_of_two_dispatchers_fills_the_slots(grades: list[ServiceClass], slots: float) -> None:
+    """On every day on sockets with two dispatchers one request in ten was rejected at half load, with half of
+    the slots free. Each dispatcher kept to half of a worker, also while the other left its half unused.
+    Where no class is at most once, so that everything may move on from a queue, the least limit must be
+    twice the share.
+    """
     dispatcher = Scheduler(1, replace(terms(3, 2, False, 0.4), service_classes=grades))
     dispatcher.step(0, [EndpointListUpdate(ListUpdateKind.SNAPSHOT, [listed("w")])])
     assert dispatcher.endpoints.by_id["w"].concurrency_limit == slots
 
 
-def test_a_worker_that_turns_all_away_does_not_draw_all_that_waits() -> None:
-    """The wide day on sockets: one worker took no views, so it was the emptiest and had each thrice."""
+def test_a_worker_that_rejects_everything_does_not_attract_every_request() -> None:
+    """One worker took no requests of one class on the wide day on sockets: it answered at once that it was
+    full. So it had nothing in flight, looked like the emptiest one, and got each request of that class
+    three times. After such an answer it must count as without capacity for a usual run.
+    """
     service = Checked(fleet=1)
     service.list(listed("w0"), listed("w1"))
     workers = service.dispatcher.endpoints.by_id
@@ -395,8 +485,12 @@
     assert len(service.dispatches[1]) == 2
 
 
-def test_what_comes_back_late_is_not_denied_for_the_time_it_was_away() -> None:
-    """Silent machines on sockets: a connection that did not come up took longer than the patience."""
+def test_a_request_that_returns_to_the_pool_late_gets_its_queue_timeout_anew() -> None:
+    """Machines went silent, so that connections to them did not come up.
+
+    Each such attempt took longer than the queue timeout of its request, which was rejected on its return to
+    the pool though other workers had capacity. What comes back must get its queue timeout anew.
+    """
     service = Checked(fleet=1)
     service.list(listed("w0"), listed("w1"))
     service.arrive(1, "cash")
@@ -409,8 +503,11 @@
     assert {shot["worker"] for shot in service.dispatches[1]} == {"w0", "w1"}
 
 
-def test_a_job_for_which_nobody_waits_outlives_refusals_by_all_workers() -> None:
-    """Durable jobs were denied within milliseconds when four workers had no room, with minutes left."""
+def test_a_background_request_outlives_full_workers() -> None:
+    """Durable jobs were rejected within milliseconds when four workers in a row were full, with minutes left
+    until their deadlines. Nobody waited for them, and capacity came free soon after. Attempts that did not
+    run must not count for a background request, which is sent again once in a usual run of each worker.
+    """
     service = Checked()
     service.list(*[listed(f"w{number}") for number in range(3)])
     service.turn(RequestArrived(1, "record", service.now + 60_000_000, background=True))
@@ -431,7 +528,11 @@
 def test_a_job_is_repeated_until_its_deduplication_window_ends_and_no_longer(
     before_the_end: int, attempts: int
 ) -> None:
-    """A job that may have run waits on after the window: its client set no end to that."""
+    """A durable job may have run at a worker that was lost, and waits for another worker of its cell.
+
+    Its client set no limit to that wait, so it may last longer than the workers remember its key. After
+    that a repeat would run twice. It must be sent up to the end of the window, and not from then on.
+    """
     service = Checked()
     service.list(listed("w0"))
     service.turn(RequestArrived(1, "record", service.now + 60_000_000, background=True))
@@ -445,7 +546,12 @@
     assert [shot["worker"] for shot in service.dispatches[1]] == ["w0", "w1"][:attempts]
 
 
-def test_a_refused_connection_does_not_shorten_the_rest_after_full() -> None:
+def test_a_refused_connection_does_not_shorten_the_pause_after_full() -> None:
+    """A worker answered that it was full, and must not be sent anything for a usual run.
+
+    A connection that it refused right after set its own, shorter pause in place of that. The worker was
+    sent requests that it could not take. The longer pause must hold.
+    """
     service = Checked()
     service.list(listed("w"))
     worker = service.dispatcher.endpoints.by_id["w"]
@@ -463,8 +569,13 @@
 
 
 @pytest.mark.parametrize("flood", FLOODS)
-def test_a_flood_that_fails_anywhere_leaves_the_health_of_every_worker_as_it_was(flood: str) -> None:
-    """One agency's worthless submissions got quick errors at all workers, and all were avoided for it."""
+def test_a_flood_of_requests_that_fail_anywhere_suspects_no_worker(flood: str) -> None:
+    """One tenant sent worthless requests that got a quick error at every worker.
+
+    The errors were recorded as the workers' failures, and soon every worker was suspected, for all tenants.
+    A request that fails at two workers must be rejected as unprocessable, and the health of both must stay
+    as it was.
+    """
     tenant, key = FLOODS[flood]
     service = Checked(fleet=3)
     service.list(*[listed(f"w{number}") for number in range(8)])
@@ -488,7 +599,12 @@
     assert max(worker.failures.read(service.now) for worker in workers) < 0.01
 
 
-def test_a_worker_that_fails_others_work_is_found_amid_a_flood() -> None:
+def test_a_faulty_worker_is_found_amid_requests_that_fail_anywhere() -> None:
+    """Half of all requests fail anywhere, and one worker fails the good ones, too.
+
+    If errors were never recorded as a worker's while such a flood lasts, it would go on failing them. It
+    must become suspected, and none of the others.
+    """
     service = Checked(fleet=3)
     service.list(*[listed(f"w{number}") for number in range(6)])
     for submission in range(60):
@@ -505,7 +621,7 @@
     assert doubted == ["w0"]
 
 
-def test_what_shares_a_key_meets_at_the_same_two_workers_of_all_dispatchers_until_they_are_full() -> None:
+def test_requests_with_one_key_are_sent_to_the_same_two_workers_by_every_dispatcher() -> None:
     names = [f"w{number}" for number in range(20)]
 
     def met(seed: int, key: int, listing: list[str], count: int = 1) -> list[str]:
@@ -517,7 +633,8 @@
         for submission in range(count):
             service.turn(RequestArrived(submission, "view", service.now + 3_000_000, affinity_key=key))
         service.pass_time(400_000)
-        return [shots[0]["worker"] for one, shots in service.dispatches.items() if shots and one < count]
+        sent = [service.dispatches[submission] for submission in range(count)]
+        return [shots[0]["worker"] for shots in sent if shots]
 
     homes = {key: {met(seed, key, names)[0] for seed in range(12)} for key in range(30)}
     assert all(len(home) == 2 for home in homes.values()) and len(set().union(*homes.values())) > 15
--- a/tests/scheduler/test_list_update.py
+++ b/tests/scheduler/test_list_update.py
@@ -24,6 +24,6 @@
     endpoints: dict[str, Endpoint] = {}
     merge_update(endpoints, EndpointListUpdate(ListUpdateKind.SNAPSHOT, [listed("a"), listed("b")]), 1.0)
     merge_update(endpoints, EndpointListUpdate(ListUpdateKind.DELTA, [listed("a")]), 1.0)
-    assert endpoints["b"].state == EndpointState.READY
+    assert [endpoint.state for endpoint in endpoints.values()] == [EndpointState.READY, EndpointState.READY]
     changed, _ = merge_update(endpoints, EndpointListUpdate(ListUpdateKind.CACHED, [listed("a")]), 1.0)
     assert changed and endpoints["b"].state == EndpointState.GONE
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -140,7 +140,7 @@
         if not ends_late:
             may_respond.set()
             await asyncio.sleep(0.05)
-        dispatcher.follower.apply_endpoint_list(
+        dispatcher.endpoint_list.apply(
             discovery.DiscoveryUpdate(2, False, [listed("w0", EndpointState.DRAINING)], {"w0": address})
         )
         notified_at = loop.time()
--- a/tests/scheduler/test_ratings_and_reload.py
+++ b/tests/scheduler/test_ratings_and_reload.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_random_days_with_switches_keep_the_rules(seed: int) -> None:
+def test_random_days_with_reloads_keep_the_rules(seed: int) -> None:
     dice = random.Random(seed)
     service = Checked(seed)
     names = [f"w{n}" for n in range(6)]
@@ -66,7 +66,13 @@
     assert set(service.answered) == set(service.arrivals)
 
 
-def test_the_way_back_leaves_nothing_of_the_other_settings() -> None:
+def test_a_reload_back_leaves_nothing_of_the_other_configuration() -> None:
+    """A fleet was switched to live ratings and back.
+
+    Loads that were learned meanwhile stayed, so that draws went by ratings that nobody renewed, and the
+    list was polled although updates are pushed. After the way back no load may be left, and nothing may be
+    polled.
+    """
     service = Checked()
     service.list(*rated({"w0": 8.0, "w1": 8.0}))
     service.turn(ConfigReloaded(THERE))
@@ -79,7 +85,12 @@
     assert not [order for order in orders if type(order) is WatchEndpoints]
 
 
-def test_what_is_open_keeps_its_grade_when_that_goes() -> None:
+def test_an_open_request_keeps_a_service_class_that_a_reload_removed() -> None:
+    """A reload removed a service class of which requests were open.
+
+    They had no class any more by which to be placed or answered. They must be sent and answered by the
+    class that they came with.
+    """
     service = Checked()
     service.arrive(1, "cash")
     classes = [grade for grade in GRADES if grade.name != "cash"]
@@ -101,7 +112,7 @@
         ("hint=1e9", "/view?obj=%ff%zz", (1.0, 0, None, crc32("\ufffd%zz".encode()))),
     ],
 )
-def test_what_a_submission_tells_beside_its_grade_reaches_the_decisions(
+def test_the_extras_of_a_request_reach_its_arrival_event(
     extras: str, target: str, told: tuple[Any, ...]
 ) -> None:
     conversation = ServerHttpConnection({"view": 3_000_000}, ())
@@ -143,8 +154,12 @@
         writer.close()
 
 
-def test_a_switch_there_and_back_under_load_loses_and_doubles_nothing(tmp_path: Path) -> None:
-    """At-most-once work is out and new work comes all along; every submission is counted on both sides."""
+def test_reloads_there_and_back_under_load_lose_and_repeat_no_request(tmp_path: Path) -> None:
+    """A process is reloaded with other settings and back while requests keep coming, at-most-once ones among
+    them, and once with a faulty file. A reload that loses a request or sends one again would show in the
+    counts of either side. Every request must get one response, what was done ran once, what was rejected
+    never, and the faulty file must leave the settings as they are.
+    """
     process, address, listening = begin(tmp_path)
     path = tmp_path / "start.json"
     here = json.loads(path.read_text())
