--- a/locktide/dispatcher/callbacks.py
+++ b/locktide/dispatcher/callbacks.py
@@ -13,7 +13,7 @@
 from locktide.protocol.messages import Callback
 from locktide.scheduler.events import AttemptProgressed, AttemptStarted
 from locktide.scheduler.types import AttemptOutcome
-from locktide.transport.request_handler import Response
+from locktide.transport.interfaces import Response
 
 
 @dataclass(eq=False, slots=True, kw_only=True)
--- a/locktide/dispatcher/dispatcher.py
+++ b/locktide/dispatcher/dispatcher.py
@@ -37,10 +37,10 @@
 from locktide.protocol.messages import Callback, JobQuery, SubmitRequest
 from locktide.scheduler.scheduler import Scheduler
 from locktide.transport.descriptor_budget import split_descriptors
+from locktide.transport.interfaces import RequestHandler, Response, System
 from locktide.transport.listener import Listener
 from locktide.transport.log import Log
-from locktide.transport.request_handler import RequestHandler, Response
-from locktide.transport.system import RealSystem, System
+from locktide.transport.system import RealSystem
 from locktide.transport.upstream_pool import UpstreamPool
 
 #: Bytes that the process takes with hundreds of connections open and no message stored.
--- a/locktide/dispatcher/endpoint_follower.py
+++ b/locktide/dispatcher/endpoint_follower.py
@@ -109,6 +109,6 @@
             self.endpoint_list.apply,
             self.log,
             version,
-            patience=POLL_WAIT_PART * known_within / MICROSECONDS_PER_SECOND,
-            again=self.retry_when_requested,
+            first_response_timeout=POLL_WAIT_PART * known_within / MICROSECONDS_PER_SECOND,
+            wait_for_retry=self.retry_when_requested,
         )
--- a/locktide/dispatcher/failure_responses.py
+++ b/locktide/dispatcher/failure_responses.py
@@ -7,8 +7,8 @@
 from locktide.dispatcher.cancellation import CancellationService
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.scheduler.commands import FailRequest, RejectRequest, ReportInternalError
+from locktide.transport.interfaces import Response
 from locktide.transport.log import Log
-from locktide.transport.request_handler import Response
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
 
--- a/locktide/dispatcher/job_host.py
+++ b/locktide/dispatcher/job_host.py
@@ -11,7 +11,7 @@
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.dispatcher.requests import RecoveredJob, RequestService
 from locktide.scheduler.events import EndpointEntry
-from locktide.transport.request_handler import Response
+from locktide.transport.interfaces import Response
 
 
 @dataclass(eq=False, slots=True, kw_only=True)
--- a/locktide/dispatcher/records.py
+++ b/locktide/dispatcher/records.py
@@ -7,7 +7,7 @@
 
 from locktide.protocol.messages import SubmitRequest
 from locktide.scheduler.types import AttemptOutcome
-from locktide.transport.request_handler import Response
+from locktide.transport.interfaces import Response
 
 
 class AttemptStage(IntEnum):
--- a/locktide/dispatcher/registry.py
+++ b/locktide/dispatcher/registry.py
@@ -7,7 +7,7 @@
 from locktide.dispatcher.records import OpenRequest
 from locktide.dispatcher.settings import DispatcherSettings
 from locktide.scheduler.types import RequestId
-from locktide.transport.request_handler import Response
+from locktide.transport.interfaces import Response
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
 
--- a/locktide/dispatcher/request_timeouts.py
+++ b/locktide/dispatcher/request_timeouts.py
@@ -12,7 +12,7 @@
 from locktide.dispatcher.scheduler_bridge import SchedulerBridge
 from locktide.scheduler.events import ClientDisconnected
 from locktide.scheduler.types import AttemptOutcome
-from locktide.transport.request_handler import Response
+from locktide.transport.interfaces import Response
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
 #: Microseconds past the deadline in which the scheduler may give its response, before one is sent without it.
--- a/locktide/dispatcher/requests.py
+++ b/locktide/dispatcher/requests.py
@@ -14,7 +14,7 @@
 from locktide.protocol.messages import SubmitRequest
 from locktide.scheduler.events import ClientDisconnected, RecoveredAttempt, RequestArrived, RequestRecovered
 from locktide.scheduler.types import AttemptOutcome
-from locktide.transport.request_handler import Response
+from locktide.transport.interfaces import Response
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
 #: Microseconds of the client's time that are left when its request times out here: for the request's way, the
--- a/locktide/dispatcher/worker_replies.py
+++ b/locktide/dispatcher/worker_replies.py
@@ -11,9 +11,8 @@
 from locktide.protocol import worker_messages
 from locktide.protocol.client_connection import UpstreamResponse
 from locktide.scheduler.types import AttemptOutcome
-from locktide.transport.interfaces import SendResult, TransportFailure
+from locktide.transport.interfaces import Response, SendResult, TransportFailure
 from locktide.transport.log import Log
-from locktide.transport.request_handler import Response
 
 #: Outcomes that do not prove the end of a job once its worker has called back about it: the connection or the
 #: refusal says nothing of the job that runs, and a retry elsewhere would be a second copy.
--- a/locktide/transport/client_session.py
+++ b/locktide/transport/client_session.py
@@ -1,4 +1,4 @@
-"""Serves the messages of an accepted connection, one after another."""
+"""The messages of an accepted connection, served one after another."""
 
 from __future__ import annotations
 
@@ -8,27 +8,32 @@
 
 from locktide.protocol.messages import BadRequest, Callback, HealthQuery, JobQuery, Message, SubmitRequest
 from locktide.transport.client_connection import ClientConnection, ConnectionState, PeerRole
-from locktide.transport.request_handler import Response
+from locktide.transport.interfaces import Response
 
-# Seconds in which what comes after our side is shut is read and dropped: closed sooner, what is under way
-# would meet a reset, which can take the last response with it. After an early response the rest of its
-# message comes: 60 MB take under one at a fifth of a core. Else no more than what crossed it, within a round
-# trip.
-REJECTED_LINGER_TIMEOUT = 3.5
+#: Seconds for which what comes after our side is shut is read and dropped. A close before that meets what is
+#: under way with a reset, which can take the last response with it. Enough for what crossed the response.
 LINGER_TIMEOUT = 1.0
+#: The same after an early response, as the rest of its message comes: 60 MB take under one second at a fifth
+#: of a core.
+REJECTED_LINGER_TIMEOUT = 3.5
 
 
 class ClientSession:
-    """Serves one accepted connection."""
+    """Serves one accepted connection.
+
+    Attributes:
+        connection: The connection.
+        context: What it shares with the others of its listener.
+    """
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
         self.context = connection.context
 
     async def run(self) -> None:
-        """Serves message after message, until one side ends the connection; raises OSError."""
+        """Serve message after message, until one side ends the connection; raise OSError."""
         connection = self.connection
-        # So that a written response is in the kernel's hands and no close cuts it short.
+        # A response that is written is with the kernel then, and no close cuts it short.
         connection.writer.transport.set_write_buffer_limits(high=0)
         while not connection.http.is_final:
             message = connection.http.next_message()
@@ -42,9 +47,9 @@
         await connection.linger(LINGER_TIMEOUT)
 
     async def receive(self) -> bool:
-        """Waits for more of a message, as long as it takes if none has begun; returns whether there is more.
+        """Wait for more of a message, as long as it takes if none has begun; return whether there is more.
 
-        Of those that have not proven themselves, none may be idle or half-way for long.
+        A peer that has not proven itself may be neither idle nor half-way through a message for long.
         """
         connection = self.connection
         if connection.http.expects_continue():
@@ -52,7 +57,8 @@
         was_idle = connection.http.is_idle
         connection.enter(ConnectionState.IDLE if was_idle else ConnectionState.RECEIVING)
         has_arrived = await self.wait_readable(was_idle)
-        # Closed by us while idle: what came all the same was not read, and is sent anew elsewhere.
+        # An idle connection may be closed for another one. What came all the same is not read: its client
+        # sends it again elsewhere.
         if connection.writer.is_closing():
             return False
         is_silent_newcomer = was_idle and not has_arrived
@@ -68,7 +74,7 @@
         return await self.consume()
 
     async def wait_readable(self, is_idle: bool) -> bool:
-        """Waits for bytes, closable meanwhile where nothing is lost by it; returns whether some have come."""
+        """Wait for bytes, closable meanwhile where nothing is lost by it; return whether some have come."""
         connection = self.connection
         if is_idle or not connection.is_proven:
             connection.mark_idle()
@@ -79,7 +85,7 @@
         return has_arrived
 
     async def consume(self) -> bool:
-        """Feeds what was read; returns whether the stream goes on and there is room for it."""
+        """Feed what was read; return whether the stream continues and what is kept is within the limit."""
         connection = self.connection
         data = connection.consume()
         if connection.store(connection.http.buffered_bytes):
@@ -92,8 +98,9 @@
         return False
 
     async def handle(self, message: Message) -> bool:
-        """Serves one message; returns whether the next may follow."""
-        connection, handler = self.connection, self.context.request_handler
+        """Serve one message; return whether the next may follow."""
+        connection = self.connection
+        handler = self.context.request_handler
         if isinstance(message, SubmitRequest):
             return await self.handle_submission(message)
         if isinstance(message, Callback):
@@ -113,10 +120,11 @@
         return True
 
     async def handle_submission(self, message: SubmitRequest) -> bool:
-        """Submits a request and waits for its response, or for the client to go away."""
-        connection, context = self.connection, self.context
+        """Submit a request and wait for its response, or for the client to go away."""
+        connection = self.connection
+        context = self.context
         if connection.protocol.has_ended:
-            return False  # it had gone before we came to read it: nothing is begun for it
+            return False  # its client had gone before it was read: nothing is begun for it
         if context.waiting_clients >= context.max_waiting_clients:
             waiting = context.waiting_clients
             context.log.emit(
@@ -135,10 +143,11 @@
         return await self.respond(message, response)
 
     async def respond(self, message: SubmitRequest, response: asyncio.Future[Response]) -> bool:
-        """Writes the response once it is there; returns whether the next message may follow."""
+        """Write the response once it is there; return whether the next message may follow."""
         connection = self.connection
         self.context.waiting_clients += 1
-        connection.protocol.on_end = abandon = partial(self.abandon, message, response)
+        abandon = partial(self.abandon, message, response)
+        connection.protocol.on_end = abandon
         try:
             if not response.done():
                 awaited: list[asyncio.Future[Any]] = [response, connection.read()]
@@ -154,19 +163,19 @@
             self.context.waiting_clients -= 1
             connection.store(0)
             abandon()
-        # A client hands in one at a time: what follows was meant as part of the first.
+        # A client sends one request at a time: what follows was meant as part of this one.
         await self.reject(BadRequest(400, "something follows before the answer"), is_final=True)
         return False
 
     def abandon(self, message: SubmitRequest, response: asyncio.Future[Response]) -> None:
-        """Notes that the client has gone, or was given up: nothing more is begun for it from now on."""
+        """Record that the client has gone, or its connection ends: nothing more is begun for it."""
         if self.connection.protocol.on_end is not None:
             self.connection.protocol.on_end = None
             if not response.done():
                 self.context.request_handler.client_disconnected(message)
 
     async def reject(self, message: BadRequest, is_final: bool = False) -> None:
-        """Answers a message that is not accepted, and ends the connection where nothing can follow."""
+        """Respond to a message that is not accepted, and end the connection where nothing can follow."""
         connection = self.connection
         connection.http.is_final = connection.http.is_final or is_final
         self.context.log.emit(
--- a/locktide/transport/endpoint_watch.py
+++ b/locktide/transport/endpoint_watch.py
@@ -11,150 +11,177 @@
 from locktide.protocol.discovery import DiscoveryUpdate
 from locktide.protocol.errors import ProtocolError
 from locktide.transport.log import Log
-from locktide.transport.streams import READ_SIZE, read_response
+from locktide.transport.upstream_stream import READ_SIZE, read_response
 
-# A change that does not reach us counts as notified 2 s after the wait is over: a short wait keeps that
-# close. One call a second costs well under a thousandth of a core. In milliseconds.
+#: Milliseconds for which discovery is to hold a call where nothing has changed. A change that does not reach
+#: us counts as notified 2 s after the wait is over: a short wait keeps that close. One call a second costs
+#: well under a thousandth of a core.
 WAIT_MS = 1000
-# The agent answers at once when the wait is over; this many seconds later it is silent, and we call anew.
-ANSWER_TIMEOUT = 0.5
-RETRY_DELAY = 0.1  # seconds after a call that failed at once; the next must come within 200 ms
-# While an agent is silent it is polled so often (seconds), without a wait: what it has counts as notified
-# from the moment on at which it answers again, and a drain may be 250 ms old by our first send.
+#: Seconds beyond the wait after which a call without a response has timed out: the agent responds at once
+#: when the wait is over. Also how long the connection may take to come up.
+RESPONSE_TIMEOUT = 0.5
+#: Seconds between a call that failed at once, or brought nothing before its time, and the next one, which
+#: must come within 200 ms.
+RETRY_DELAY = 0.1
+#: Seconds after which a call without a wait has timed out. While an agent is silent it is called so often:
+#: what it has counts as notified from the moment on at which it responds again, and a drain may be 250 ms old
+#: by the first request after that.
 POLL_TIMEOUT = 0.15
+MILLISECONDS_PER_SECOND = 1000
 
 
-async def retry_soon(was_silent: bool) -> None:
-    """Waits for the moment to call again an agent whose calls cost nothing.
+async def retry_soon(timed_out: bool) -> None:
+    """Wait until an agent whose calls cost nothing is to be called again.
 
     Args:
-        was_silent: Whether the call before timed out, so that it was waited for; else it failed at once.
+        timed_out: Whether the call before timed out, so that it was waited for; else it failed at once.
     """
-    if not was_silent:
+    if not timed_out:
         await asyncio.sleep(RETRY_DELAY)
 
 
 class EndpointWatch:
     """Calls discovery for changes of the endpoint list until it is cancelled.
 
-    A watch that goes on is answered at the end of its wait everywhere: what falls silent then is broken, and
-    found within half a second of that.
+    A watch that works is answered at the end of its wait everywhere: where it falls silent then it is broken,
+    which is found within half a second of that.
 
     Attributes:
-        version: Version of the list that we hold; None where the whole list is to be asked for.
+        address: Where discovery listens.
+        version: Version of the list that is held; None where the whole list is to be fetched.
         is_failing: Whether the last call failed.
     """
 
-    def __init__(  # noqa: PLR0913 - the last two are options for agents where calls are work for others
+    def __init__(  # noqa: PLR0913 - the last two are options for agents whose calls are work for others
         self,
         address: Address,
         on_update: Callable[[DiscoveryUpdate], None],
         log: Log,
         version: int | None = None,
-        patience: float = ANSWER_TIMEOUT,
-        again: Callable[[bool], Awaitable[None]] = retry_soon,
+        *,
+        first_response_timeout: float = RESPONSE_TIMEOUT,
+        wait_for_retry: Callable[[bool], Awaitable[None]] = retry_soon,
     ) -> None:
-        """Begins before the first call.
+        """Begin before the first call.
 
         Args:
             address: Where discovery listens.
             on_update: Takes each update.
             log: The log.
             version: Version of the list that is held already.
-            patience: Seconds beyond our wait that the answer to the first call on a connection may take:
-                where calls are work for others, a call waits its turn.
-            again: Waits for the moment of the next call after one that failed; it is given whether that
-                one timed out.
+            first_response_timeout: Seconds beyond the wait that the response to the first call on a
+                connection may take: where calls are work for others, a call waits its turn.
+            wait_for_retry: Waits for the moment of the next call after one that failed; it is given whether
+                that one timed out.
         """
         self.address = address
-        self.on_update = on_update
-        self.log = log
         self.version = version
-        self.first_answer_timeout = patience
-        self.wait_for_retry = again
         self.is_failing = False
+        self._on_update = on_update
+        self._log = log
+        self._first_response_timeout = first_response_timeout
+        self._wait_for_retry = wait_for_retry
 
     async def run(self) -> None:
-        """Calls, and calls anew after each failure."""
+        """Call, and call anew after each failure."""
         while True:
             try:
-                await self.follow()
-            except Exception as error:  # whatever it is, the list must be followed on
-                was_silent = isinstance(error, TimeoutError)
+                await self._follow()
+            except Exception as error:  # protects the watch: whatever failed, the list must be followed
+                timed_out = isinstance(error, TimeoutError)
                 if not self.is_failing:
-                    cause = "silent" if was_silent else f"{type(error).__name__}: {error}"
-                    self.log.emit(
-                        f"worker list: no answer ({cause}), calling anew",
-                        event="discovery_failed",
-                        error=cause,
-                    )
+                    self._log_failure(error, timed_out)
                 self.is_failing = True
-                await self.wait_for_retry(was_silent)
+                await self._wait_for_retry(timed_out)
 
-    async def follow(self) -> None:
-        """Calls on one connection for as long as it is answered.
+    async def _follow(self) -> None:
+        """Call on one connection for as long as it is answered.
 
         Raises:
-            TimeoutError: It does not come up, or a call is not answered in time.
-            OSError: It cannot be opened, or breaks.
-            ProtocolError: An answer is no HTTP response with status 200.
-            ValueError: An answer holds no JSON.
-            ConfigError: An answer holds no endpoint list.
+            TimeoutError: The connection does not come up, or a call is not answered in time.
+            OSError: The connection cannot be opened, or breaks.
+            ProtocolError: A response is no HTTP response with status 200.
+            ValueError: A response holds no JSON.
+            ConfigError: A response holds no endpoint list.
         """
         connecting = asyncio.open_connection(*self.address, limit=READ_SIZE)
-        reader, writer = await asyncio.wait_for(connecting, ANSWER_TIMEOUT)
+        reader, writer = await asyncio.wait_for(connecting, RESPONSE_TIMEOUT)
         try:
             http = ClientHttpConnection(format_address(self.address), discovery.MAX_LIST_SIZE)
-            answer_timeout = self.first_answer_timeout
+            response_timeout = self._first_response_timeout
             while http.is_idle:
                 called_at = asyncio.get_running_loop().time()
-                update = await self.call(http, reader, writer, answer_timeout)
-                answer_timeout = ANSWER_TIMEOUT
-                # After a failure also what brings nothing: else the gaps of the next begin where these ended.
-                if self.accept(update) or update.is_snapshot or update.entries:
-                    self.on_update(update)
-                elif asyncio.get_running_loop().time() < called_at + RETRY_DELAY:
-                    # Guards against spinning where an answer comes before its time and brings nothing.
-                    await asyncio.sleep(RETRY_DELAY)
+                update = await self._call(http, reader, writer, response_timeout)
+                response_timeout = RESPONSE_TIMEOUT
+                await self._handle(update, called_at)
         finally:
             writer.transport.abort()
 
-    async def call(
+    async def _call(
         self,
         http: ClientHttpConnection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        answer_timeout: float,
+        response_timeout: float,
     ) -> DiscoveryUpdate:
-        """Asks for changes once; `answer_timeout` in seconds beyond our wait. Raises as `follow` does."""
-        is_polling = self.is_failing and self.wait_for_retry is retry_soon
+        """Fetch changes once; `response_timeout` in seconds beyond the wait. Raise as `_follow` does."""
+        is_polling = self.is_failing and self._wait_for_retry is retry_soon
         wait_ms = 0 if is_polling else WAIT_MS
+        timeout = POLL_TIMEOUT if is_polling else wait_ms / MILLISECONDS_PER_SECOND + response_timeout
         writer.writelines(http.encode_request(discovery.list_request(self.version, wait_ms)))
-        async with asyncio.timeout(POLL_TIMEOUT if is_polling else wait_ms / 1000 + answer_timeout):
+        async with asyncio.timeout(timeout):
             response = await read_response(reader, http)
         if response.status != 200:
-            raise ProtocolError(f"status {response.status}")
+            raise ProtocolError(f"status {response.status}", peer=format_address(self.address))
         return discovery.parse(response.body)
 
-    def accept(self, update: DiscoveryUpdate) -> bool:
-        """Notes an update's version and faults; returns whether the calls before it failed."""
-        if update.faults:
-            count, first = len(update.faults), update.faults[0]
-            self.log.emit(
-                f"worker list: {count} entries not taken, the first for {first}",
-                event="endpoint_entries_rejected",
-                count=count,
-                first=first,
-            )
-        # Guards against a list remembered from elsewhere: this one counts its versions on its own.
+    async def _handle(self, update: DiscoveryUpdate, called_at: float) -> None:
+        """Pass on what a call brought; a call that brought nothing before its time is followed by a delay."""
+        self._log_rejected_entries(update)
+        self._accept_version(update)
+        # After a failure an update without entries is passed on too: the scheduler has to know that the list
+        # is current again.
+        if self._end_failure(update) or update.is_snapshot or update.entries:
+            self._on_update(update)
+        elif asyncio.get_running_loop().time() < called_at + RETRY_DELAY:
+            # Without a delay an agent that responds at once with nothing would be called in a busy loop.
+            await asyncio.sleep(RETRY_DELAY)
+
+    def _accept_version(self, update: DiscoveryUpdate) -> None:
+        """Hold the version of an update, or fetch the whole list next.
+
+        A delta with a lower version comes from an agent with a count of its own: the list that is held was
+        cached from elsewhere.
+        """
         is_behind = self.version is not None and update.version < self.version and not update.is_snapshot
         self.version = None if is_behind else update.version
-        has_recovered = self.is_failing
-        if has_recovered:
-            self.is_failing = False
-            self.log.emit(
-                f"worker list: answers again, version {update.version}",
-                event="discovery_recovered",
-                version=update.version,
-            )
-        return has_recovered
+
+    def _end_failure(self, update: DiscoveryUpdate) -> bool:
+        """Record that a call succeeded; return whether the calls before it failed."""
+        if not self.is_failing:
+            return False
+        self.is_failing = False
+        self._log.emit(
+            f"worker list: answers again, version {update.version}",
+            event="discovery_recovered",
+            version=update.version,
+        )
+        return True
+
+    def _log_failure(self, error: Exception, timed_out: bool) -> None:
+        cause = "silent" if timed_out else f"{type(error).__name__}: {error}"
+        self._log.emit(
+            f"worker list: no answer ({cause}), calling anew", event="discovery_failed", error=cause
+        )
+
+    def _log_rejected_entries(self, update: DiscoveryUpdate) -> None:
+        if not update.faults:
+            return
+        count = len(update.faults)
+        first = update.faults[0]
+        self._log.emit(
+            f"worker list: {count} entries not taken, the first for {first}",
+            event="endpoint_entries_rejected",
+            count=count,
+            first=first,
+        )
--- a/locktide/transport/interfaces.py
+++ b/locktide/transport/interfaces.py
@@ -1,20 +1,62 @@
-"""Interfaces between the sockets and the dispatcher that uses them."""
+"""Interfaces of the transport: what it calls, what calls it, and the values that pass between them."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+import asyncio
+import socket
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import Protocol, TypeAlias
 
 from locktide.config.address import Address
 from locktide.protocol.client_connection import UpstreamRequest, UpstreamResponse
+from locktide.protocol.messages import Callback, JobQuery, SubmitRequest
 from locktide.scheduler.types import AttemptOutcome
 
 
+@dataclass(slots=True)
+class Response:
+    """A response to a client or a worker; `headers` without those of framing."""
+
+    status: int
+    body: bytes = b""
+    headers: list[tuple[str, str]] = field(default_factory=list)
+
+
+class RequestHandler(Protocol):
+    """Handles the messages of clients and the callbacks of workers; called by the listener's connections."""
+
+    def is_ready(self) -> bool:
+        """Return whether the dispatcher accepts requests."""
+
+    def submit(self, message: SubmitRequest) -> asyncio.Future[Response] | None:
+        """Return the response to come; None where a request with that id is open, or was."""
+
+    def client_disconnected(self, message: SubmitRequest) -> None:
+        """Take the notice that nobody waits for the response any more."""
+
+    def handle_callback(self, message: Callback) -> Awaitable[None] | None:
+        """Take a callback; where something to await is returned, the worker is answered after that."""
+
+    def query_job(self, message: JobQuery) -> Response:
+        """Return the state of a durable job."""
+
+
+class System(Protocol):
+    """The machine under a dispatcher: the operating system, or a simulation in virtual time."""
+
+    def wall(self) -> float:
+        """Return Unix time in seconds."""
+
+    def listening(self, address: Address, backlog: int) -> socket.socket:
+        """Return a socket on which the event loop can accept; raise OSError."""
+
+
 class TransportFailure(StrEnum):
     """A failure on a connection that by itself does not say how the attempt ended."""
 
-    # What came back is no response, or half of one. Its worker lives and may have accepted the request.
+    #: What came back is no response, or half of one. Its worker lives and may have accepted the request.
     INVALID_RESPONSE = "invalid response"
 
 
--- a/locktide/transport/system.py
+++ b/locktide/transport/system.py
@@ -1,31 +1,20 @@
-"""What a dispatcher needs of its machine beside the event loop: the time of day and a listening socket."""
+"""The operating system, as a dispatcher uses it beside the event loop."""
 
 from __future__ import annotations
 
 import socket
 import time
-from typing import Protocol
 
 from locktide.config.address import Address
 
 
-class System(Protocol):
-    """Given by whoever hosts a dispatcher: the operating system, or a simulation in virtual time."""
-
-    def wall(self) -> float:
-        """Returns Unix time in seconds."""
-
-    def listening(self, address: Address, backlog: int) -> socket.socket:
-        """Returns a socket on which the event loop can accept; raises OSError."""
-
-
 class RealSystem:
-    """The operating system."""
+    """The operating system; implements `System`."""
 
     def wall(self) -> float:
-        """Returns Unix time in seconds."""
+        """Return Unix time in seconds."""
         return time.time()
 
     def listening(self, address: Address, backlog: int) -> socket.socket:
-        """Returns a listening socket; raises OSError."""
+        """Return a listening socket; raise OSError."""
         return socket.create_server(address, backlog=backlog)
--- /dev/null
+++ b/locktide/transport/upstream_connection.py
@@ -0,0 +1,120 @@
+"""One connection to a worker, which carries one request at a time."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from locktide.config.address import Address, format_address
+from locktide.protocol.client_connection import ClientHttpConnection, UpstreamRequest, UpstreamResponse
+from locktide.transport.upstream_stream import (
+    CountingStreamReader,
+    DrainNotifyingProtocol,
+    open_upstream,
+    read_response,
+)
+
+#: Seconds for which a connection carries no further request after a response that ended an attempt. A worker
+#: may send a response twice, some milliseconds apart: the second would be read as the response to the next
+#: request, and a job that runs would count as rejected
+#: (test_a_connection_whose_reply_may_be_told_twice_rests_first). A 202 needs no such delay: read as the
+#: response to the next job, it says that the job may run, which is true.
+DUPLICATE_RESPONSE_WINDOW = 0.05
+
+
+class UpstreamConnection:
+    """A connection to a worker.
+
+    Attributes:
+        worker: Name of the worker.
+        address: Its address.
+        http: Encodes requests and parses responses.
+        is_connected: Whether it has come up.
+        is_reused: Whether it has carried a request before this one.
+        idle_since: When it became idle, in seconds of the event loop.
+        received_when_idle: How many bytes had come in by then.
+        reusable_at: When it may carry the next request, in seconds of the event loop.
+    """
+
+    __slots__ = (
+        "worker",
+        "address",
+        "reader",
+        "writer",
+        "protocol",
+        "http",
+        "is_connected",
+        "is_reused",
+        "idle_since",
+        "received_when_idle",
+        "reusable_at",
+    )
+
+    reader: CountingStreamReader
+    writer: asyncio.StreamWriter
+    protocol: DrainNotifyingProtocol
+
+    def __init__(self, worker: str, address: Address) -> None:
+        self.worker = worker
+        self.address = address
+        self.http = ClientHttpConnection(format_address(address))
+        self.is_connected = False
+        self.is_reused = False
+        self.idle_since = 0.0
+        self.received_when_idle = 0
+        self.reusable_at = 0.0
+
+    async def connect(self) -> None:
+        """Open the connection; raise OSError."""
+        self.reader, self.writer, self.protocol = await open_upstream(self.address)
+        self.is_connected = True
+
+    async def write(self, request: UpstreamRequest, on_written: Callable[[], None]) -> None:
+        """Write a request, and call `on_written` once the kernel has its last byte; raise OSError.
+
+        Before that call the request has not been sent.
+        """
+        transport = self.writer.transport
+        self.protocol.on_drained = on_written
+        try:
+            self.writer.writelines(self.http.encode_request(request))
+            if not transport.is_closing() and not transport.get_write_buffer_size():
+                on_written()
+            else:
+                await self.writer.drain()
+        finally:
+            self.protocol.on_drained = None
+
+    async def read_response(self) -> UpstreamResponse:
+        """Read the response; raise OSError or ProtocolError."""
+        response = await read_response(self.reader, self.http)
+        if response.status != 202:
+            self.reusable_at = asyncio.get_running_loop().time() + DUPLICATE_RESPONSE_WINDOW
+        return response
+
+    @property
+    def is_quiet(self) -> bool:
+        """Whether nothing has come since the last response: neither an end nor bytes without a request.
+
+        Bytes that came while it was idle may be a response that was sent twice: it would be taken for the
+        response to the next request
+        (test_response_sent_twice_is_not_taken_for_the_response_to_the_next_request).
+        """
+        nothing_came = not self.is_reused or self.reader.received_bytes == self.received_when_idle
+        return nothing_came and not self.reader.at_eof() and not self.writer.is_closing()
+
+    def end_exchange(self) -> bool:
+        """End the exchange that it carried; return whether it can carry another."""
+        self.is_reused = False  # what has come up to here came for the request
+        return self.http.is_idle and self.is_quiet
+
+    def become_idle(self) -> None:
+        """Await the next request, from now on."""
+        self.is_reused = True
+        self.received_when_idle = self.reader.received_bytes
+        self.idle_since = asyncio.get_running_loop().time()
+
+    def abort(self) -> None:
+        """Close the connection, if it has come up."""
+        if self.is_connected:
+            self.writer.transport.abort()
--- a/tests/dispatcher/test_attempts.py
+++ b/tests/dispatcher/test_attempts.py
@@ -8,7 +8,7 @@
 from helpers import HandPlayed, run_story, submission
 
 from locktide.scheduler.types import AttemptOutcome, EndpointState
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "answered", "late", "none"])
--- a/tests/dispatcher/test_callbacks.py
+++ b/tests/dispatcher/test_callbacks.py
@@ -6,7 +6,7 @@
 
 from locktide.scheduler.events import AttemptSent
 from locktide.scheduler.types import AttemptOutcome
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 
 
 def test_callback_done_of_the_running_attempt_is_the_response_and_others_change_nothing() -> None:
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -20,13 +20,14 @@
 from locktide.scheduler.events import EndpointListUpdate, TimerFired
 from locktide.scheduler.state import TimerPurpose
 from locktide.scheduler.types import AttemptOutcome, Effect, EndpointState, ListUpdateKind
-from locktide.transport.client_connection import ConnectionState, PeerRole, Response
+from locktide.transport.client_connection import ConnectionState, PeerRole
 from locktide.transport.descriptor_budget import DescriptorBudget
 from locktide.transport.endpoint_watch import WAIT_MS
-from locktide.transport.interfaces import TransportFailure
+from locktide.transport.interfaces import Response, TransportFailure
 from locktide.transport.listener import Listener
 from locktide.transport.log import Log
-from locktide.transport.upstream_pool import UpstreamConnection, UpstreamPool
+from locktide.transport.upstream_connection import UpstreamConnection
+from locktide.transport.upstream_pool import UpstreamPool
 
 
 def reset(client: socket.socket) -> None:
@@ -395,7 +396,7 @@
         for _ in range(2):
             await connections.send("w", at, lambda: question, lambda: None)
         assert len(met) == meets
-        for kept in connections.idle["w"]:
+        for kept in connections.idle.by_worker["w"]:
             kept.reusable_at -= 1.0  # it has rested
         await connections.send("w", at, lambda: question, lambda: None)
         assert len(met) == meets and connections.descriptors.used == meets
--- a/tests/dispatcher/test_list_notifications.py
+++ b/tests/dispatcher/test_list_notifications.py
@@ -53,7 +53,7 @@
         while not sheets:
             await asyncio.sleep(0.005)
         agent.silent = True
-        await asyncio.sleep(watch.WAIT_MS / 1000 + watch.ANSWER_TIMEOUT + 0.4)
+        await asyncio.sleep(watch.WAIT_MS / 1000 + watch.RESPONSE_TIMEOUT + 0.4)
         agent.version, agent.changed, agent.silent, calls = 8, ("w1",), False, agent.calls
         await asyncio.sleep(0.25)
         assert [entry.state for entry in sheets[-1].entries] == [EndpointState.DRAINING], "an indented list"
@@ -69,7 +69,7 @@
 ) -> None:
     # It was waited for as long as a first call may take: news counted as told before.
     monkeypatch.setattr(watch, "WAIT_MS", 50)
-    monkeypatch.setattr(watch, "ANSWER_TIMEOUT", 0.1)
+    monkeypatch.setattr(watch, "RESPONSE_TIMEOUT", 0.1)
 
     async def run() -> None:
         agent, failed = Agent(), asyncio.Event()
@@ -80,7 +80,9 @@
             await asyncio.sleep(9)
 
         address = listening.sockets[0].getsockname()
-        told = EndpointWatch(address, lambda sheet: None, Log("n0"), patience=30.0, again=again)
+        told = EndpointWatch(
+            address, lambda sheet: None, Log("n0"), first_response_timeout=30.0, wait_for_retry=again
+        )
         task = asyncio.create_task(told.run())
         while agent.calls < 3:
             await asyncio.sleep(0.005)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -59,7 +59,7 @@
     ListUpdateKind,
     RequestId,
 )
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 from locktide.transport.log import Log
 
 STEP, SLACK, GRACE = 4_000, 16_000, 250_000
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -277,7 +277,7 @@
         if node.registry.open_requests or node.tasks or node.listener.tasks:
             self.fault(f"left: {list(node.registry.open_requests)}, {len(node.tasks)} tasks")
         for name, budget in (("clients", node.listener.descriptors), ("workers", node.upstream.descriptors)):
-            rest = 0 if name == "clients" else sum(map(len, node.upstream.idle.values()))
+            rest = 0 if name == "clients" else sum(map(len, node.upstream.idle.by_worker.values()))
             if budget.used != rest:
                 self.fault(f"descriptors: {budget.used} of {name} not given back, {rest} at rest")
 
--- a/tests/transport/test_endpoint_watch.py
+++ b/tests/transport/test_endpoint_watch.py
@@ -24,7 +24,7 @@
 
 def test_silent_discovery_is_called_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_module, "WAIT_MS", 20)
-    monkeypatch.setattr(watch_module, "ANSWER_TIMEOUT", 0.1)
+    monkeypatch.setattr(watch_module, "RESPONSE_TIMEOUT", 0.1)
     targets: list[str] = []
 
     async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/transport/test_upstream_pool.py
+++ b/tests/transport/test_upstream_pool.py
@@ -108,7 +108,7 @@
         assert statuses == [202] * 3 and len(accepted) == 1
         pool.close_expired()
         assert pool.descriptors.used == 1
-        pool.idle["w"][0].idle_since -= 0.21  # past half of the stated idle time
+        pool.idle.by_worker["w"][0].idle_since -= 0.21  # past half of the stated idle time
         pool.close_expired()
         assert pool.descriptors.used == 0
 
@@ -129,7 +129,7 @@
         for _ in range(2):
             reply = await pool.send("w", address, lambda: request, lambda: None)
             assert isinstance(reply, UpstreamResponse)
-            while pool.idle["w"] and pool.idle["w"][0].is_quiet:
+            while pool.idle.by_worker["w"] and pool.idle.by_worker["w"][0].is_quiet:
                 await asyncio.sleep(0.001)  # until its end has come
         pool.close_expired()
         assert pool.descriptors.used == 0
@@ -161,7 +161,7 @@
         for _ in range(2):
             response = await pool.send("w", address, lambda: request, lambda: None)
             assert isinstance(response, UpstreamResponse) and response.status == 202
-            connection = pool.idle["w"][0]
+            connection = pool.idle.by_worker["w"][0]
             while accepted == 1 and connection.is_quiet:
                 await asyncio.sleep(0.001)
         assert accepted == 2 and pool.descriptors.used == 1
