--- a/locktide/dispatcher/cancellation_delivery.py
+++ b/locktide/dispatcher/cancellation_delivery.py
@@ -14,26 +14,26 @@
 from locktide.transport.log import Log
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
-#: Tries that follow one another without a delay. Idle connections to a worker break together: the second try
-#: is sent on a new connection, and the third is for a new one that breaks by itself.
-IMMEDIATE_TRIES = 3
-#: How long a try on a new connection may take, in connect timeouts: one to connect, one for the reply.
+#: Sends of a cancellation that follow one another without a delay. Idle connections to a worker break
+#: together: the second send is on a new connection, and the third is for a new one that breaks by itself.
+IMMEDIATE_SENDS = 3
+#: How long a send on a new connection may take, in connect timeouts: one to connect, one for the reply.
 NEW_CONNECTION_TIMEOUTS = 2
-#: Delay between later tries, in connect timeouts. A try at an unreachable worker takes one of them: a
+#: Delay before each later send, in connect timeouts. A send to an unreachable worker takes one of them: a
 #: descriptor is in use a fifth of the time, and a worker that is back is notified within about a second.
-RETRY_DELAY_TIMEOUTS = 4
+RESEND_DELAY_TIMEOUTS = 4
 
 
 @dataclass(slots=True)
-class _Try:
-    """One try to deliver a cancellation."""
+class _Message:
+    """The message of one send, and whether it was sent completely."""
 
-    message: UpstreamRequest
+    request: UpstreamRequest
     was_sent: bool = False
 
     def build(self) -> UpstreamRequest:
         """Return the message, right before its first byte."""
-        return self.message
+        return self.request
 
     def note_sent(self) -> None:
         """Record that the kernel has the last byte."""
@@ -54,39 +54,38 @@
 
         A worker is notified once it has replied, or has the whole message on a connection that came up for
         it: it is reachable then, and reads that before it works on. An idle connection may lead to a process
-        that is gone, and one that is refused or does not come up has carried nothing. Retries that relied on
-        such silence were second copies. Once the cancellation is obsolete, the immediate tries are the last.
+        that is gone, and one that does not come up has carried nothing. Retries that relied on such silence
+        were second copies. Once the cancellation is obsolete, the immediate sends are the last.
         """
         connect_timeout = self.settings.connect_within / MICROSECONDS_PER_SECOND
-        tries = 0
+        send_count = 0
         while True:
-            if await self._try_to_deliver(request.message.id, attempt.worker, connect_timeout, tries > 0):
+            is_repeated = send_count > 0
+            if await self._send(request.message.id, attempt.worker, connect_timeout, fresh=is_repeated):
                 return True
-            tries += 1
-            if tries < IMMEDIATE_TRIES:
+            send_count += 1
+            if send_count < IMMEDIATE_SENDS:
                 continue
             if self._is_obsolete(request, attempt):
                 self._log_undelivered(attempt.worker)
                 return False
-            await asyncio.sleep(RETRY_DELAY_TIMEOUTS * connect_timeout)
+            await asyncio.sleep(RESEND_DELAY_TIMEOUTS * connect_timeout)
 
-    async def _try_to_deliver(
-        self, request_id: str, worker: str, connect_timeout: float, fresh: bool
-    ) -> bool:
+    async def _send(self, request_id: str, worker: str, connect_timeout: float, fresh: bool) -> bool:
         """Send the message once, on a new connection where `fresh`; return whether the worker is notified."""
-        delivery = _Try(worker_messages.cancel_request(request_id))
+        message = _Message(worker_messages.cancel_request(request_id))
         timeout = NEW_CONNECTION_TIMEOUTS * connect_timeout if fresh else connect_timeout
         address = self.endpoints.addresses.get(worker)
         if address is None:
             return False
         try:
-            # A worker that is silent must not hold up the other tries.
+            # A worker that is silent must not hold up the next send.
             async with asyncio.timeout(timeout):
                 reply = await self.upstream.send(
-                    worker, address, delivery.build, delivery.note_sent, fresh=fresh
+                    worker, address, message.build, message.note_sent, fresh=fresh
                 )
         except TimeoutError:
-            return delivery.was_sent and fresh
+            return message.was_sent and fresh
         return isinstance(reply, UpstreamResponse)
 
     @staticmethod
--- a/locktide/dispatcher/cleanup.py
+++ b/locktide/dispatcher/cleanup.py
@@ -1,4 +1,4 @@
-"""What is dropped after some time without an event: idle connections and ids of answered requests."""
+"""Periodic clean-up: idle connections that expired, and ids of requests that are long over."""
 
 from __future__ import annotations
 
--- a/locktide/dispatcher/service.py
+++ b/locktide/dispatcher/service.py
@@ -40,7 +40,7 @@
         start: The settings.
         known: The cached endpoint list.
         log: The log.
-        read_start: Reads the settings anew at SIGHUP; may raise ConfigError.
+        read_start: Reads the settings again at SIGHUP; may raise ConfigError.
         attach: Each adds a service to the dispatcher before it serves, and may raise what ends the start.
     """
     stop = asyncio.Event()
--- a/locktide/transport/client_connection.py
+++ b/locktide/transport/client_connection.py
@@ -85,7 +85,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is owed on it, and its peer would send anew what crosses its close."""
+        """Whether nothing is owed on it, and its peer would send again what crosses its close."""
         is_quiet = self.protocol.received_bytes == self.consumed_bytes and not self.protocol.has_ended
         return self.state is ConnectionState.IDLE and self.is_proven and is_quiet
 
@@ -177,7 +177,7 @@
                 self.pending_read = None
 
     async def close(self) -> None:
-        """Close the connection and release what it holds, other than its descriptor."""
+        """Close the connection and release what it has taken, but for its descriptor."""
         self.enter(ConnectionState.CLOSED)
         if self.linger_timer is not None:
             self.linger_timer.cancel()
--- a/locktide/transport/endpoint_watch.py
+++ b/locktide/transport/endpoint_watch.py
@@ -43,7 +43,7 @@
 class EndpointWatch:
     """Calls discovery for changes of the endpoint list until it is cancelled.
 
-    A watch that works is answered at the end of its wait everywhere: where it falls silent then it is broken,
+    A call that works gets its response at the end of its wait at the latest. Without one the watch is broken,
     which is found within half a second of that.
 
     Attributes:
@@ -83,7 +83,7 @@
         self._wait_for_retry = wait_for_retry
 
     async def run(self) -> None:
-        """Call, and call anew after each failure."""
+        """Call, and call again after each failure."""
         while True:
             try:
                 await self._follow()
@@ -95,14 +95,14 @@
                 await self._wait_for_retry(timed_out)
 
     async def _follow(self) -> None:
-        """Call on one connection for as long as it is answered.
+        """Call on one connection for as long as each call gets a response.
 
         Raises:
-            TimeoutError: The connection does not come up, or a call is not answered in time.
+            TimeoutError: The connection does not come up, or a call gets no response in time.
             OSError: The connection cannot be opened, or breaks.
             ProtocolError: A response is no HTTP response with status 200.
-            ValueError: A response holds no JSON.
-            ConfigError: A response holds no endpoint list.
+            ValueError: A response contains no JSON.
+            ConfigError: A response contains no endpoint list.
         """
         connecting = asyncio.open_connection(*self.address, limit=READ_SIZE)
         reader, writer = await asyncio.wait_for(connecting, RESPONSE_TIMEOUT)
--- a/locktide/transport/interfaces.py
+++ b/locktide/transport/interfaces.py
@@ -37,7 +37,7 @@
         """Take the notice that nobody waits for the response any more."""
 
     def handle_callback(self, message: Callback) -> Awaitable[None] | None:
-        """Take a callback; where something to await is returned, the worker is answered after that."""
+        """Take a callback; where something to await is returned, the worker gets its response after that."""
 
     def query_job(self, message: JobQuery) -> Response:
         """Return the state of a durable job."""
--- a/tests/dispatcher/test_cancellation.py
+++ b/tests/dispatcher/test_cancellation.py
@@ -14,7 +14,7 @@
 import pytest
 from helpers import TAKEN, Asked, HandPlayed, free_address, run_story, submission, submit, until_serving
 
-from locktide.dispatcher.cancellation_delivery import IMMEDIATE_TRIES, CancellationDelivery
+from locktide.dispatcher.cancellation_delivery import IMMEDIATE_SENDS, CancellationDelivery
 from locktide.scheduler.commands import CancelAttempt
 from locktide.scheduler.types import AttemptOutcome
 from locktide.simulation.model import scenario as script
@@ -85,7 +85,7 @@
         play = HandPlayed()
         asked = await start_and_cancel(play, accepted=False)
         assert asked.cancelled
-        await fail_tries(play, IMMEDIATE_TRIES)
+        await fail_tries(play, IMMEDIATE_SENDS)
         assert play.outcomes() == [AttemptOutcome.CANCELLED]
 
     asyncio.run(run())
@@ -96,7 +96,7 @@
         for word in ("done", ""):
             play = HandPlayed()
             asked = await start_and_cancel(play)
-            await fail_tries(play, IMMEDIATE_TRIES)
+            await fail_tries(play, IMMEDIATE_SENDS)
             if word:
                 play.call("a", asked.worker, word, b"result")
             else:
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -516,7 +516,9 @@
 @pytest.mark.parametrize(
     "kind, most", [(ListUpdateKind.FETCH_TIMED_OUT, 2_000_000), (ListUpdateKind.FETCH_FAILED, 4_000_000)]
 )
-def test_after_a_call_that_failed_the_next_comes_before_a_change_counts_as_told(kind: str, most: int) -> None:
+def test_after_a_call_that_failed_the_next_comes_before_a_change_counts_as_told(
+    kind: ListUpdateKind, most: int
+) -> None:
     """Four spans of `ask_within` were allowed after it, and used: up to ten seconds by a list from before."""
     for seed in range(20):
         service = Checked(seed, must_ask=True)
--- a/tests/dispatcher/test_many_dispatchers.py
+++ b/tests/dispatcher/test_many_dispatchers.py
@@ -16,7 +16,7 @@
 from locktide.protocol import discovery, names
 from locktide.scheduler.commands import SetTimer, WatchEndpoints
 from locktide.scheduler.config import EndpointListConfig
-from locktide.scheduler.events import EndpointListUpdate, TimerFired
+from locktide.scheduler.events import EndpointListUpdate, Event, TimerFired
 from locktide.scheduler.scheduler import Scheduler
 from locktide.scheduler.types import AttemptOutcome, EndpointState, ListUpdateKind
 from locktide.simulation.model import scenario as script
@@ -31,8 +31,9 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_forty_that_start_together_all_get_the_list(seed: int, told_within: int) -> None:
     """A release killed 28 of 40 at once: all asked at once, again and again, and hardly one was told."""
-    service, events = CallCapacity(150_000, 2_000_000), []
-    fleet = [Scheduler(seed * 100 + me, terms(4, 40, True, False, 0.4)) for me in range(40)]
+    service = CallCapacity(150_000, 2_000_000)
+    events: list[tuple[int, int, Event]] = []
+    fleet = [Scheduler(seed * 100 + me, terms(4, 40, True, 0.0, live=True)) for me in range(40)]
     for one in fleet:
         listing = replace(one.config.current.endpoint_list, notified_within=told_within)
         one.config.current = replace(one.config.current, endpoint_list=listing)
@@ -164,7 +165,8 @@
     """A call that failed was made again each tenth of a second, by all dispatchers, for the whole list."""
 
     async def run() -> None:
-        player, heard = told_to_ask(), []
+        player = told_to_ask()
+        heard: list[str] = []
         node = player.node
         listening = await agent([BUSY, sheet(2, False)], heard)
         node.settings.discovery = listening.sockets[0].getsockname()
@@ -233,7 +235,8 @@
     monkeypatch.setattr(watch_module, "WAIT_MS", 0)
 
     async def run() -> None:
-        player, heard = told_to_ask(), []
+        player = told_to_ask()
+        heard: list[str] = []
         node = player.node
         set_endpoint_list_config(player, EndpointListConfig(True, 20_000))
         listening = await agent([], heard)
@@ -281,7 +284,8 @@
 
 def test_a_reload_asks_the_new_address_for_the_whole_list_at_once_and_after_a_failure_when_told() -> None:
     async def run() -> None:
-        player, heard = told_to_ask(), []
+        player = told_to_ask()
+        heard: list[str] = []
         node = player.node
         listening = await agent([BUSY, sheet(7, True)], heard)
         here = listening.sockets[0].getsockname()
@@ -318,7 +322,9 @@
     monkeypatch.setattr("locktide.dispatcher.shutdown.ACCEPT_AFTER_STOP", 0.02)
 
     async def run() -> None:
-        player, heard, stop = told_to_ask(), [], asyncio.Event()
+        player = told_to_ask()
+        heard: list[str] = []
+        stop = asyncio.Event()
         node = player.node
         node.upstream.close_expired = lambda: None  # type: ignore[method-assign]
         listening = await agent([], heard)
--- a/tests/dispatcher/test_requests.py
+++ b/tests/dispatcher/test_requests.py
@@ -33,7 +33,8 @@
         assert status not in (200, 429, 503)
         await play.settle()
         assert play.outcomes() == [AttemptOutcome.TIMED_OUT] and not play.node.registry.open_requests
-        assert play.asked[-1].build().method == "DELETE"  # nobody waits for it any more
+        cancellation = play.asked[-1].build()
+        assert cancellation is not None and cancellation.method == "DELETE"  # nobody waits for it any more
 
     run_story(story)
 
--- a/tests/dispatcher/test_scheduler_bridge.py
+++ b/tests/dispatcher/test_scheduler_bridge.py
@@ -4,11 +4,12 @@
 
 import asyncio
 import time
-from typing import Any
+from collections.abc import Sequence
 
 from helpers import HandPlayed, run_story, submission
 
-from locktide.scheduler.events import ClientDisconnected, EndpointListUpdate
+from locktide.scheduler.commands import Command
+from locktide.scheduler.events import ClientDisconnected, EndpointListUpdate, Event
 from locktide.scheduler.types import ListUpdateKind
 
 
@@ -37,10 +38,10 @@
 
 def test_request_gets_504_if_the_scheduler_fails() -> None:
     async def story(play: HandPlayed) -> None:
-        told: list[Any] = []
+        told: list[Event] = []
 
-        def broken(now: int, news: list[Any]) -> list[Any]:
-            told.extend(news)
+        def broken(now: int, events: Sequence[Event]) -> list[Command]:
+            told.extend(events)
             raise ValueError("out of sorts")
 
         play.node.scheduler.step = broken  # type: ignore[method-assign]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -431,6 +431,9 @@
     def handle_callback(self, message: clients.Callback) -> None:
         pass
 
+    def query_job(self, message: clients.JobQuery) -> Response:
+        return Response(404)
+
     async def until(self, count: int) -> None:
         while len(self.taken) < count:
             await asyncio.sleep(0.001)
--- a/tests/transport/test_descriptor_budget.py
+++ b/tests/transport/test_descriptor_budget.py
@@ -10,10 +10,15 @@
 
 def test_at_the_limit_the_connection_idle_longest_is_evicted() -> None:
     async def run() -> None:
-        places, closed = DescriptorBudget(2), []
+        places = DescriptorBudget(2)
+        closed: list[str] = []
 
         def close(name: str) -> Callable[[], None]:
-            return lambda: (closed.append(name), places.release(name))[0]
+            def close_and_release() -> None:
+                closed.append(name)
+                places.release(name)
+
+            return close_and_release
 
         await places.acquire()
         await places.acquire()
