--- a/locktide/protocol/client_connection.py
+++ b/locktide/protocol/client_connection.py
@@ -51,7 +51,7 @@
     """
 
     def __init__(self, host: str, max_body_size: int = MAX_BODY_SIZE) -> None:
-        """Begin a connection to `host`, whose response bodies hold at most so many bytes."""
+        """Begin a connection to `host`; a response with a larger body is a fault of the peer."""
         self.has_received = False
         self._machine = h11.Connection(h11.CLIENT)
         self._host = host
@@ -77,7 +77,7 @@
         """Take what was read, b"" at the end of the stream; return the response once it is complete.
 
         Raises:
-            ProtocolError: The stream ended before the response, or holds what is none.
+            ProtocolError: The stream ended before the response, or is not HTTP.
         """
         self.has_received = self.has_received or bool(data)
         try:
@@ -104,7 +104,7 @@
 
     def _check_body_size(self) -> None:
         if len(self._body) > self._max_body_size:
-            raise ProtocolError(f"its response holds over {self._max_body_size} bytes", peer=self._host)
+            raise ProtocolError(f"its response has over {self._max_body_size} bytes", peer=self._host)
 
     def _complete_response(self, head: h11.Response) -> UpstreamResponse:
         """Return the response that has ended, and begin the next exchange, if one can follow."""
--- a/locktide/protocol/messages.py
+++ b/locktide/protocol/messages.py
@@ -59,7 +59,7 @@
         state: The state as it is spelled in the message: `names.STARTED`, `names.RUNNING`, or a key of
             `names.CALLBACK_OUTCOMES`.
         fraction_done: Progress from 0.0 to 1.0.
-        outcome: How the attempt ended; None where it goes on.
+        outcome: How the attempt ended; None where it has not ended.
         result: Body of the response to the client, of a job that is done.
         fence: Fencing number of the attempt's lease, from workers that report it.
     """
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JobQuery:
-    """Asks for the state of a durable job."""
+    """A query for the state of a durable job."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class HealthQuery:
-    """Asks whether the dispatcher is ready, or only whether its process lives."""
+    """A health check: whether the dispatcher is ready, or only whether its process is alive."""
 
     ready: bool
 
--- a/locktide/protocol/request_router.py
+++ b/locktide/protocol/request_router.py
@@ -1,4 +1,4 @@
-"""Tells by method and path what message a request is."""
+"""Finds out by method and path what message a request is."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
         Args:
             timeouts: Timeout of each service class, in microseconds.
             keyed_classes: Service classes whose requests need an idempotency key.
-            keeps_jobs: Whether clients may ask for the state of durable jobs.
+            keeps_jobs: Whether clients may query durable jobs.
         """
         self._service_classes = timeouts
         self._submission_parser = SubmissionParser(timeouts, keyed_classes)
         self._keeps_jobs = keeps_jobs
 
     def parse(self, head: h11.Request, body: bytearray, has_unparsed_bytes: bool) -> AcceptedMessage:
-        """Return the message that a request holds.
+        """Return the message that a request is.
 
         Args:
             head: Request line and header fields as they came.
--- a/locktide/protocol/server_connection.py
+++ b/locktide/protocol/server_connection.py
@@ -49,7 +49,7 @@
         Args:
             timeouts: Timeout of each service class, in microseconds.
             keyed_classes: Service classes whose requests need an idempotency key.
-            keeps_jobs: Whether clients may ask for the state of durable jobs.
+            keeps_jobs: Whether clients may query durable jobs.
         """
         self.is_final = False
         self._machine = h11.Connection(h11.SERVER)
@@ -124,7 +124,7 @@
         """Return the response to the message returned last, in pieces; a final one closes the connection."""
         self.is_final = self.is_final or is_final
         if self._machine.our_state not in RESPONSE_STATES:
-            # The exchange has its response, or the peer asked for a close before: another response would be
+            # The exchange has its response, or the connection is closed after it: another response would be
             # read as that of the next request.
             self.is_final = True
             return []
--- a/locktide/protocol/submissions.py
+++ b/locktide/protocol/submissions.py
@@ -59,7 +59,7 @@
             service_class: The service class that the path names.
 
         Raises:
-            RejectedMessageError: A header field is missing or holds what it may not.
+            RejectedMessageError: A header field is missing or malformed.
         """
         if fields.get(names.SERVICE_CLASS.lower()) != service_class:
             raise _bad_request(f"{names.SERVICE_CLASS} and the path differ")
--- a/tests/protocol/test_client_connection.py
+++ b/tests/protocol/test_client_connection.py
@@ -51,3 +51,27 @@
     http.encode_request(UpstreamRequest("GET", "/", []))
     response = http.feed(b"HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
     assert response is not None and not http.is_idle
+
+
+def test_connection_with_bytes_behind_its_response_is_not_idle() -> None:
+    """A worker sends more bytes than its response has.
+
+    They would be read as the beginning of the response to the next request, and so give a job the outcome
+    of another. The connection must not be offered for another request.
+    """
+    http = ClientHttpConnection("w:1")
+    http.encode_request(UpstreamRequest("GET", "/", []))
+    assert http.feed(TAKEN % 0 + b"HTTP/1.1 200") is not None
+    assert http.has_unparsed_bytes and not http.is_idle
+
+
+def test_response_over_the_size_limit_is_a_protocol_error() -> None:
+    """A faulty worker sends a response without end.
+
+    The dispatcher must not fill its memory with it, and must give up as soon as the limit is passed.
+    """
+    http = ClientHttpConnection("w:1", max_body_size=10)
+    http.encode_request(UpstreamRequest("GET", "/", []))
+    assert http.feed(TAKEN % 20 + b"x" * 10) is None
+    with pytest.raises(ProtocolError, match="w:1: its response has over 10 bytes"):
+        http.feed(b"x")
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -58,6 +58,9 @@
         others = [list_entry("w1"), list_entry("w3"), list_entry("w4"), list_entry("w2", state="leaving")]
         update = discovery.parse(list_body(*faulty, *others))
         assert update.faults[0].startswith(message)
+        listed = [entry.worker for entry in update.entries]
+        assert listed[-4:] == ["w1", "w3", "w4", "w2"] and listed == list(update.addresses)
+        assert not set(listed) & set(update.unreadable)
         play.node.endpoint_list.apply(update)
         accepting = [number for number in range(5) if play.node.endpoints.accepts_requests(f"w{number}")]
         assert accepting == [1, 3, 4]
--- a/tests/protocol/test_server_connection.py
+++ b/tests/protocol/test_server_connection.py
@@ -9,7 +9,7 @@
 
 from locktide.protocol import worker_messages
 from locktide.protocol.client_connection import ClientHttpConnection
-from locktide.protocol.messages import BadRequest, Callback, Message, SubmitRequest
+from locktide.protocol.messages import BadRequest, Callback, HealthQuery, Message, SubmitRequest
 from locktide.protocol.server_connection import ServerHttpConnection
 from locktide.scheduler.types import AttemptOutcome
 
@@ -143,6 +143,7 @@
         ),
         (submit().replace(b"Content-Length: 0", b"Transfer-Encoding: gzip"), 400),
         (submit(Transfer_Encoding="chunked") + b"0\r\n\r\n" + submit(Req_Id="hidden"), 400),
+        (submit(Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
         (
             submit().replace(b"Content-Length: 0", b"Transfer-Encoding: chunked").replace(b"/1.1", b"/1.0", 1)
             + b"0\r\n\r\n",
@@ -168,6 +169,45 @@
     assert not any(isinstance(message, SubmitRequest) for message in found)
 
 
+def test_head_request_gets_the_header_of_its_response_alone() -> None:
+    """A load balancer checks the health with HEAD, and goes on to use the connection.
+
+    A body behind the header would be read as the beginning of the next response.
+    """
+    head = b"HEAD /health/ready HTTP/1.1\r\nHost: us\r\n\r\n"
+    found, written = exchange_messages(head + head)
+    assert found == [HealthQuery(ready=True)] * 2
+    assert written.count(b"HTTP/1.1 200") == 2 and written.count(b"Content-Length: 3") == 2
+    assert b"so" not in written
+
+
+def test_second_response_to_a_message_is_not_sent() -> None:
+    """A message is rejected before its end, and a second response to it comes up later.
+
+    On the wire it would be read as the response to the next request. Nothing may be written, and nothing
+    may follow on the connection.
+    """
+    http = ServerHttpConnection(TIMEOUTS, KEYED_CLASSES)
+    http.feed(submit(body=b"x" * 100)[:-50])
+    assert http.next_message() is None
+    assert b"408" in b"".join(http.encode_response(408, b"half a message\n", [], True))
+    assert http.encode_response(200, b"", [], False) == [] and http.is_final
+
+
+def test_body_is_not_counted_as_buffered_once_its_request_was_returned() -> None:
+    """A client waits long for the response to a large request.
+
+    The request has the body by then. Were the connection to count it as well, the listener would reject
+    other clients for want of memory that nothing uses.
+    """
+    http = ServerHttpConnection(TIMEOUTS, KEYED_CLASSES)
+    data = submit(body=b"x" * 1000)
+    http.feed(data[:-1])
+    assert http.next_message() is None and http.buffered_bytes == 999
+    http.feed(data[-1:])
+    assert isinstance(http.next_message(), SubmitRequest) and http.buffered_bytes == 0
+
+
 def test_body_of_64_kib_is_accepted() -> None:
     found, _ = exchange_messages(submit(body=b"x" * 65_536))
     assert isinstance(found[0], SubmitRequest) and len(found[0].body) == 65_536
