--- a/locktide/cli/jobs.py
+++ b/locktide/cli/jobs.py
@@ -13,7 +13,8 @@
 
 from locktide.durable.disk import DirectoryStorage
 from locktide.durable.errors import ForeignFileError, NewerFormatError
-from locktide.durable.jobs import Job, JobState, JobTable
+from locktide.durable.job_states import JOB_STATE_WORDS
+from locktide.durable.jobs import Job, JobTable
 from locktide.durable.log.reader import LogContents, read_log
 from locktide.durable.log.records import LateReport, LeaseGranted
 
@@ -51,7 +52,7 @@
         "id": job.job_id,
         "grade": accepted.service_class,
         "key": accepted.key,
-        "state": job.state.value,
+        "state": JOB_STATE_WORDS[job.state],
         "accepted_at": format_time(accepted.recorded_at),
         "time_limit_at": format_time(accepted.deadline),
         "target": accepted.target,
@@ -101,15 +102,16 @@
 
 @jobs.command("list")
 @DIRECTORY
-@click.option("--state", type=click.Choice([state.value for state in JobState]), help="Only these.")
+@click.option("--state", type=click.Choice(list(JOB_STATE_WORDS.values())), help="Only these.")
 def list_jobs(directory: Path, state: str | None) -> None:
     """One line for each job that is open or kept, oldest first."""
     table, _ = read_directory(directory)
     for job in _oldest_first(table):
-        if state in (None, job.state):
+        job_state = JOB_STATE_WORDS[job.state]
+        if state in (None, job_state):
             service_class = job.accepted.service_class
             accepted_at = format_time(job.accepted.recorded_at)
-            click.echo(f"{job.job_id}  {service_class}  {job.state}  {accepted_at}  {len(job.leases)} leases")
+            click.echo(f"{job.job_id}  {service_class}  {job_state}  {accepted_at}  {len(job.leases)} leases")
 
 
 @jobs.command()
--- a/locktide/durable/background_tasks.py
+++ b/locktide/durable/background_tasks.py
@@ -24,8 +24,8 @@
         task.add_done_callback(lambda done: self.tasks.pop(done, None))
         return task
 
-    def cancel_all_but(self, kept: Collection[asyncio.Task[None]]) -> None:
-        """Cancel all tasks that are not in `kept`."""
+    def cancel_all_except(self, exceptions: Collection[asyncio.Task[None]]) -> None:
+        """Cancel all tasks that are not in `exceptions`."""
         for task in list(self.tasks):
-            if task not in kept:
+            if task not in exceptions:
                 task.cancel()
--- a/locktide/durable/job_service.py
+++ b/locktide/durable/job_service.py
@@ -90,7 +90,7 @@
 
     async def close(self) -> None:
         """Finish the writes that are under way and close the log."""
-        self.tasks.cancel_all_but(self.completion.writes.values())
+        self.tasks.cancel_all_except(self.completion.writes.values())
         await self.completion.wait_for_writes()
         await self.write_ahead_log.wait_until_idle()
         self.write_ahead_log.close()
--- a/locktide/durable/jobs.py
+++ b/locktide/durable/jobs.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import StrEnum
 
+from locktide.durable.job_states import JobState, state_of_final_response
 from locktide.durable.log.records import (
     AnyRecord,
     AttemptEnded,
@@ -20,18 +20,6 @@
 from locktide.scheduler.types import PROVEN_NOT_RUN, AttemptOutcome
 
 
-class JobState(StrEnum):
-    """The state of a job, as clients and operators are shown it."""
-
-    OPEN = "open"
-    DONE = "done"
-    DENIED = "denied"
-    TERMINATED = "terminated"
-
-
-STATE_BY_STATUS = {200: JobState.DONE, 503: JobState.DENIED}
-
-
 @dataclass(slots=True)
 class Job:
     """Everything that was recorded of one job.
@@ -81,7 +69,7 @@
         """The state by its final response."""
         if self.finished is None:
             return JobState.OPEN
-        return STATE_BY_STATUS.get(self.finished.status, JobState.TERMINATED)
+        return state_of_final_response(self.finished.status)
 
     @property
     def fence(self) -> int:
--- a/locktide/durable/late_reports.py
+++ b/locktide/durable/late_reports.py
@@ -7,7 +7,8 @@
 
 from locktide.durable.completion import JobCompletion
 from locktide.durable.job_context import JobContext
-from locktide.durable.jobs import Job, JobState
+from locktide.durable.job_states import JobState
+from locktide.durable.jobs import Job
 from locktide.durable.log.records import LateReport
 from locktide.durable.log.stored_outcomes import encode_outcome
 from locktide.durable.log.write_ahead_log import wait_or_lose
--- a/locktide/durable/lease_service.py
+++ b/locktide/durable/lease_service.py
@@ -11,7 +11,7 @@
 from locktide.durable.job_context import JobContext
 from locktide.durable.jobs import Job
 from locktide.durable.late_reports import LateReports
-from locktide.durable.leases import LeaseAnswer, WorkerReport
+from locktide.durable.leases import ReportResult, WorkerReport
 from locktide.durable.log.crash_point import CrashPoint
 from locktide.durable.log.records import AttemptEnded, LeaseGranted
 from locktide.durable.log.stored_outcomes import encode_outcome
@@ -100,8 +100,8 @@
             is_final=callback.outcome is not None,
             has_started=callback.state == names.STARTED,
         )
-        answer = self.leases.apply_report(report, self.dispatcher.now())
-        if answer in (LeaseAnswer.FENCED, LeaseAnswer.UNKNOWN):
+        result = self.leases.apply_report(report, self.dispatcher.now())
+        if result in (ReportResult.FENCED, ReportResult.UNKNOWN):
             return self.late_reports.record(job, callback) if report.is_final else None
         self.dispatcher.handle_callback(callback)
         if callback.outcome == AttemptOutcome.DONE:
--- a/locktide/durable/leases.py
+++ b/locktide/durable/leases.py
@@ -19,10 +19,12 @@
 and the
    scheduler sends the job again only where the service class allows it.
 
-Held by `tests/durable/test_leases.py`: the model `LeaseModel` (2 and 3) and
-`test_silent_worker_holds_a_job_no_longer_than_its_lease` (3); by `tests/durable/test_crashes.py`:
+Held by `tests/durable/test_crashes.py`,
 `test_dispatcher_killed_at_a_crash_point_loses_and_duplicates_no_job` (1) and
-`test_hung_worker_loses_its_lease_and_its_late_report_has_no_effect` (3 and 4).
+`test_hung_worker_loses_its_lease_and_its_late_report_has_no_effect` (3 and 4), and by
+`tests/durable/test_leases.py`, `LeaseModel`, `test_fencing_number_is_above_that_of_an_earlier_process` (2),
+`test_silent_worker_holds_a_job_no_longer_than_its_lease` and
+`test_report_after_the_end_of_a_lease_is_fenced_before_anybody_has_noticed` (3).
 """
 
 from __future__ import annotations
@@ -31,13 +33,13 @@
 from enum import StrEnum
 
 
-class LeaseAnswer(StrEnum):
-    """What a worker's report does."""
+class ReportResult(StrEnum):
+    """What a worker's report did."""
 
-    RENEWS = "renews"  # it extends its lease
-    ENDS = "ends"  # it is the last one under its lease
-    FENCED = "fenced"  # its lease had ended before
-    UNKNOWN = "unknown"  # its lease is not known
+    RENEWED = "renewed"  # its lease lasts longer
+    ENDED = "ended"  # its lease has ended with it
+    FENCED = "fenced"  # nothing: its lease had ended before
+    UNKNOWN = "unknown"  # nothing: its lease is not known
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,19 +146,19 @@
                 return lease
         return None
 
-    def apply_report(self, report: WorkerReport, now: int) -> LeaseAnswer:
+    def apply_report(self, report: WorkerReport, now: int) -> ReportResult:
         """Renew or end the lease of a report, if it is still in force."""
         lease = self.find(report.job_id, report.worker, report.fence)
         if lease is None:
-            return LeaseAnswer.UNKNOWN
+            return ReportResult.UNKNOWN
         if lease.has_ended or now >= lease.expires_at:
-            return LeaseAnswer.FENCED
+            return ReportResult.FENCED
         if report.is_final:
             lease.has_ended = True
-            return LeaseAnswer.ENDS
+            return ReportResult.ENDED
         lease.has_started = lease.has_started or report.has_started
         self._renew(lease, now)
-        return LeaseAnswer.RENEWS
+        return ReportResult.RENEWED
 
     def _renew(self, lease: Lease, now: int) -> None:
         if lease.has_started:
--- a/locktide/durable/log/framing.py
+++ b/locktide/durable/log/framing.py
@@ -32,7 +32,7 @@
 SECTOR = 512
 
 
-class FaultKind(StrEnum):
+class FaultType(StrEnum):
     """Why bytes of a segment are no record."""
 
     TORN = "torn"  # a crash cut a write short
@@ -43,7 +43,7 @@
 class FramingFault:
     """Where a segment stops holding records, in bytes from its start, and why."""
 
-    kind: FaultKind
+    fault_type: FaultType
     offset: int
     reason: str
 
@@ -86,7 +86,7 @@
     while offset < len(data):
         payload_start = offset + FRAME.size
         if payload_start > len(data):
-            yield FramingFault(FaultKind.TORN, offset, f"{len(data) - offset} bytes of a record's head")
+            yield FramingFault(FaultType.TORN, offset, f"{len(data) - offset} bytes of a record's head")
             return
         length, checksum = FRAME.unpack_from(data, offset)
         end = payload_start + length
@@ -105,15 +105,15 @@
     edge to its end. Whatever else is wrong was once read as good, and must not be dropped silently.
     """
     if not any(data[offset:]):
-        return FramingFault(FaultKind.TORN, offset, "nothing but zeros")
+        return FramingFault(FaultType.TORN, offset, "nothing but zeros")
     written_size = len(data.rstrip(b"\0"))
     first_zero_sector = -(-written_size // SECTOR) * SECTOR  # rounded up to the edge of a sector
     if first_zero_sector < len(data) and first_zero_sector < end:
-        return FramingFault(FaultKind.TORN, offset, "a record that ends in sectors of zeros")
+        return FramingFault(FaultType.TORN, offset, "a record that ends in sectors of zeros")
     if 0 < length <= MAX_PAYLOAD and end > len(data) and not has_record_after(data, offset):
         reason = f"{len(data) - offset} bytes of a record of {end - offset}"
-        return FramingFault(FaultKind.TORN, offset, reason)
-    return FramingFault(FaultKind.DAMAGED, offset, "a record whose checksum does not fit")
+        return FramingFault(FaultType.TORN, offset, reason)
+    return FramingFault(FaultType.DAMAGED, offset, "a record whose checksum does not fit")
 
 
 def has_record_after(data: bytes, offset: int) -> bool:
--- a/locktide/durable/log/reader.py
+++ b/locktide/durable/log/reader.py
@@ -10,7 +10,7 @@
 from locktide.durable.disk import Storage
 from locktide.durable.jobs import JobTable
 from locktide.durable.log import framing, records
-from locktide.durable.log.framing import FaultKind, FramingFault
+from locktide.durable.log.framing import FaultType, FramingFault
 
 SEGMENT_NAME = re.compile(r"(\d{10})\.journal")
 
@@ -87,7 +87,7 @@
         for item in framing.read_frames(data):
             if isinstance(item, FramingFault):
                 # Only the segment that was written last can have been cut short.
-                is_torn = item.kind is FaultKind.TORN and is_last
+                is_torn = item.fault_type is FaultType.TORN and is_last
                 faults = self.contents.torn if is_torn else self.contents.damaged
                 faults.append(f"{name}: at byte {item.offset}: {item.reason}")
                 return item.offset
--- a/locktide/durable/log/write_ahead_log.py
+++ b/locktide/durable/log/write_ahead_log.py
@@ -159,7 +159,7 @@
         return batch
 
     async def _write_batch(self, batch: Sequence[PendingWrite]) -> None:
-        """Append and sync a batch; its writes are told the result."""
+        """Append and sync a batch, and set the results of its writes."""
         self.reach_crash_point(CrashPoint.BEFORE_WRITE)
         try:
             self._segment.append(b"".join(write.frame for write in batch))
--- a/locktide/durable/recovery.py
+++ b/locktide/durable/recovery.py
@@ -71,10 +71,10 @@
 def elapsed_since(writer: WriterStarted | None, last_recorded_at: int, now: ClockReading) -> ElapsedBounds:
     """Return the time since the last record.
 
-    On the same boot the uptime tells it, whatever the clock was set to. On another boot there is only the
-    clock. Where it shows a time before the last record, it was set back, and nothing is known of how long
-    no dispatcher ran: the least is nothing, so that no deadline is cut short, and the most is longer than
-    any deduplication window, so that nothing is sent twice. Held by
+    On the same boot it is known by the uptime, whatever the clock was set to. On another boot there is only
+    the clock. Where it shows a time before the last record, it was set back, and nothing is known of how
+    long no dispatcher ran: the least is nothing, so that no deadline is cut short, and the most is longer
+    than any deduplication window, so that nothing is sent twice. Held by
     `test_elapsed_time_follows_the_boot_clock_when_the_wall_clock_is_set` and
     `test_nothing_is_retried_after_the_clock_stepped_back`.
     """
--- a/locktide/durable/responses.py
+++ b/locktide/durable/responses.py
@@ -4,6 +4,7 @@
 
 import json
 
+from locktide.durable.job_states import JOB_STATE_WORDS
 from locktide.durable.jobs import Job
 from locktide.durable.units import MICROSECONDS_PER_SECOND
 from locktide.protocol import names
@@ -17,7 +18,7 @@
 
 def pending_response(job: Job) -> Response:
     """Return 202 with the state of a job that is open."""
-    body = {"id": job.job_id, "state": job.state, "dispatches": len(job.leases)}
+    body = {"id": job.job_id, "state": JOB_STATE_WORDS[job.state], "dispatches": len(job.leases)}
     headers = [
         ("Location", names.JOBS + job.job_id),
         ("Retry-After", f"{POLL_INTERVAL:g}"),
@@ -30,7 +31,7 @@
 def final_response(job: Job) -> Response:
     """Return the one final response of a job that is finished."""
     assert job.finished is not None
-    headers = [(names.JOB_STATE, job.state.value), ("Location", names.JOBS + job.job_id)]
+    headers = [(names.JOB_STATE, JOB_STATE_WORDS[job.state]), ("Location", names.JOBS + job.job_id)]
     if job.finished.retry_after:
         headers.append(("Retry-After", f"{job.finished.retry_after / MICROSECONDS_PER_SECOND:.3f}"))
     return Response(job.finished.status, job.finished.body, headers)
--- a/tests/durable/log/test_framing.py
+++ b/tests/durable/log/test_framing.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from locktide.durable.log import framing, records
-from locktide.durable.log.framing import FaultKind, FramedPayload, FramingFault
+from locktide.durable.log.framing import FaultType, FramedPayload, FramingFault
 
 
 @settings(max_examples=60, deadline=None)
@@ -29,7 +29,7 @@
     ends = [framing.HEADER.size + sum(map(len, framed[: n + 1])) for n in range(len(framed))]
     assert len(good) == sum(end <= cut for end in ends)
     if len(read) > len(good):
-        assert read[-1].kind == FaultKind.TORN  # type: ignore[union-attr]
+        assert read[-1].fault_type == FaultType.TORN  # type: ignore[union-attr]
 
 
 @settings(max_examples=60, deadline=None)
@@ -45,7 +45,7 @@
     place = framing.HEADER.size + place % (len(whole) - framing.HEADER.size - len(framed[-1]))
     whole[place] ^= 1 << bit
     read = list(framing.read_frames(bytes(whole)))
-    assert isinstance(read[-1], FramingFault) and read[-1].kind == FaultKind.DAMAGED
+    assert isinstance(read[-1], FramingFault) and read[-1].fault_type == FaultType.DAMAGED
 
 
 def test_zero_sectors_at_the_end_are_torn() -> None:
@@ -57,4 +57,4 @@
     edge = 2 * framing.SECTOR
     torn = list(framing.read_frames(whole[:edge] + bytes(len(whole) - edge)))
     assert [item.payload for item in torn[:-1]] == [b"x" * 100]  # type: ignore[union-attr]
-    assert torn[-1].kind == FaultKind.TORN  # type: ignore[union-attr]
+    assert torn[-1].fault_type == FaultType.TORN  # type: ignore[union-attr]
--- a/tests/durable/test_leases.py
+++ b/tests/durable/test_leases.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from locktide.durable.leases import LeaseAnswer, LeaseConfig, LeaseTable, WorkerReport
+from locktide.durable.leases import Lease, LeaseConfig, LeaseTable, ReportResult, WorkerReport
 
 LEASE_CONFIG = LeaseConfig(20 * SECOND, 5 * SECOND)
 
@@ -64,11 +64,11 @@
         lease = chosen if names_fence else of_same_worker[-1]
         fence = chosen.fence if names_fence else None
         report = WorkerReport(chosen.job_id, chosen.worker, fence, is_final, has_started)
-        answer = self.leases.apply_report(report, self.now)
+        result = self.leases.apply_report(report, self.now)
         if lease.has_ended or self.now >= lease.expires_at:
-            assert answer == LeaseAnswer.FENCED
+            assert result == ReportResult.FENCED
             return
-        assert answer == (LeaseAnswer.ENDS if is_final else LeaseAnswer.RENEWS)
+        assert result == (ReportResult.ENDED if is_final else ReportResult.RENEWED)
         if is_final:
             lease.has_ended = True
             return
@@ -112,11 +112,51 @@
     leases = LeaseTable(LEASE_CONFIG)
     leases.grant("a", "x", 0)
     started = WorkerReport("a", "x", 1, is_final=False, has_started=True)
-    assert leases.apply_report(started, SECOND) == LeaseAnswer.RENEWS
+    assert leases.apply_report(started, SECOND) == ReportResult.RENEWED
     assert not leases.expire(6 * SECOND - 1)
     assert [lease.fence for lease in leases.expire(6 * SECOND)] == [1] and not leases.expire(7 * SECOND)
     second = leases.grant("a", "x", 7 * SECOND)
     late = WorkerReport("a", "x", 1, is_final=True, has_started=False)  # under the first fence
-    assert leases.apply_report(late, 8 * SECOND) == LeaseAnswer.FENCED
+    assert leases.apply_report(late, 8 * SECOND) == ReportResult.FENCED
     final = WorkerReport("a", "x", 2, is_final=True, has_started=False)
-    assert second.fence == 2 and leases.apply_report(final, 8 * SECOND) == LeaseAnswer.ENDS
+    assert second.fence == 2 and leases.apply_report(final, 8 * SECOND) == ReportResult.ENDED
+
+
+def test_report_after_the_end_of_a_lease_is_fenced_before_anybody_has_noticed() -> None:
+    """A worker reports in the quarter of a second between the end of its lease and the next check for ended
+    leases.
+
+    The end must come by the clock and not by the check: else the report would count or not by chance, and
+    renew a lease that the scheduler is about to give up.
+    """
+    for is_final in (False, True):
+        leases = LeaseTable(LEASE_CONFIG)
+        leases.grant("a", "x", 0)
+        report = WorkerReport("a", "x", 1, is_final=is_final, has_started=False)
+        assert leases.apply_report(report, 20 * SECOND) == ReportResult.FENCED
+        assert [lease.fence for lease in leases.expire(20 * SECOND)] == [1]
+
+
+def test_fencing_number_is_above_that_of_an_earlier_process() -> None:
+    """A dispatcher is restarted, and sends a job again whose lease of the earlier process had ended.
+
+    Ended leases are not taken over, so the table of the new process does not know them. With the same
+    number as an earlier lease, a late report under that one would be taken for one under the new lease.
+    """
+    leases = LeaseTable(LEASE_CONFIG)
+    assert leases.grant("a", "x", 0, last_fence=7).fence == 8
+    assert leases.grant("a", "y", 0, last_fence=7).fence == 9
+
+
+def test_lease_of_an_earlier_process_lasts_for_a_heartbeat_at_least() -> None:
+    """A dispatcher was down for longer than the lease of a worker that has gone on with its job.
+
+    What the worker reported meanwhile is lost, so it looks silent. It must get the time of one heartbeat to
+    report, and a lease that lasts longer must keep its time.
+    """
+    leases = LeaseTable(LEASE_CONFIG)
+    leases.take_over(Lease("a", 1, "x", granted_at=0, expires_at=20 * SECOND), now=60 * SECOND)
+    leases.take_over(Lease("b", 1, "x", granted_at=50 * SECOND, expires_at=70 * SECOND), now=60 * SECOND)
+    assert not leases.expire(65 * SECOND - 1)
+    assert [lease.job_id for lease in leases.expire(65 * SECOND)] == ["a"]
+    assert [lease.job_id for lease in leases.expire(70 * SECOND)] == ["b"]
--- a/tests/durable/test_recovery.py
+++ b/tests/durable/test_recovery.py
@@ -103,6 +103,22 @@
     assert isinstance(step, ResumeJob) and step.attempts[0].sent_at < -recovery.UNKNOWN_SPAN // 2
 
 
+def test_recovered_lease_ends_with_its_job_at_the_latest() -> None:
+    """A job has three seconds left when its dispatcher comes back, and its worker stays silent.
+
+    The worker gets the time of a heartbeat, five seconds. Its lease must not outlast the job, whose client
+    gets the final response at the deadline.
+    """
+    table = table_from(WRITER, accepted_job("a", 1000 * SECOND), granted_lease("a", at=1000 * SECOND))
+    leases = LeaseTable(LEASE_CONFIG)
+    elapsed = ElapsedBounds(97 * SECOND, 97 * SECOND)
+    now = 5000 * SECOND
+    (step,) = recovery.plan(table, leases, elapsed, now)
+    assert isinstance(step, ResumeJob) and step.deadline == now + 3 * SECOND
+    assert not leases.expire(step.deadline - 1)
+    assert [lease.job_id for lease in leases.expire(step.deadline)] == ["a"]
+
+
 NOW = 10 * SECOND
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -21,6 +21,7 @@
 from locktide.cli.jobs import export_job
 from locktide.durable import recovery
 from locktide.durable.disk import DirectoryStorage
+from locktide.durable.job_states import JOB_STATE_WORDS
 from locktide.durable.jobs import Job, JobTable
 from locktide.durable.leases import LeaseConfig, LeaseTable
 from locktide.durable.log import framing, records
@@ -548,7 +549,7 @@
     accepted, final = job.accepted, job.finished
     return (
         job.job_id,
-        job.state,
+        JOB_STATE_WORDS[job.state],
         accepted.service_class,
         accepted.key,
         accepted.digest,
