--- a/locktide/durable/job_dispatcher.py
+++ b/locktide/durable/job_dispatcher.py
@@ -26,7 +26,7 @@
         return self.host.now()
 
     def is_id_in_use(self, request_id: str) -> bool:
-        """Whether a request of that id is open or was answered lately."""
+        """Whether a request of that id is open, or has had its response lately."""
         return self.host.is_id_in_use(request_id)
 
     def submit(
--- a/locktide/durable/lease_service.py
+++ b/locktide/durable/lease_service.py
@@ -87,7 +87,7 @@
         self.leases.end(job_id, attempt.fence)
         if attempt.outcome == AttemptOutcome.DONE:
             return  # the job's final response is its record
-        outcome = encode_outcome(AttemptOutcome(attempt.outcome))
+        outcome = encode_outcome(attempt.outcome)
         record = AttemptEnded(job_id, attempt.fence, outcome, self.dispatcher.now())
         self.tasks.spawn(wait_or_lose(self.write_ahead_log.append(record)))
 
