--- a/locktide/cluster/election/__init__.py
+++ b/locktide/cluster/election/__init__.py
@@ -7,13 +7,13 @@
   acceptor knows of a running lease it names the owner in its Promise, and a proposer does not count a Promise
   that names another owner. So a member that acquires the lease after another one has the Promise of a shared
   acceptor whose record of the other's lease has expired.
-- An acceptor's record expires after the lease of the owner itself. The owner counts the lease duration by its
-  own clock from before its first Propose is sent; an acceptor counts by its own clock from when it accepts,
-  which is later, and for `stretched(duration)`. Clocks are never compared: only their rates matter, each of
-  which is off by at most `SKEW` parts in a million, and `stretched` covers the worst pair of rates
-  (`quota/lease_timing.py`).
+- An acceptor's record expires after the lease of the owner itself. The owner counts the lease duration by
+  its own clock from before its first Propose is sent; an acceptor counts by its own clock from when it
+  accepts, which is later, and for `lifetime_at_grantor(duration)`. Clocks are never compared: only their
+  rates matter, each of which is off by at most `MAX_CLOCK_DRIFT` parts in a million, and
+  `lifetime_at_grantor` covers the worst pair of rates (`quota/lease_timing.py`).
 - Acceptors keep nothing on disk. One that has just started has forgotten what it promised and accepted, so it
-  does not answer for one stretched lease duration, after which any lease that it may have helped to grant has
+  does not answer for one such duration, after which any lease that it may have helped to grant has
   expired at its owner.
 - Messages that are lost, late, duplicated or reordered only prevent an election: each answer names the ballot
   that it answers, and ballots are never reused, as they hold the proposer's name and generation.
--- a/locktide/cluster/election/acceptor.py
+++ b/locktide/cluster/election/acceptor.py
@@ -10,14 +10,23 @@
 from locktide.cluster.messages import Accepted, Ballot, MemberId, Prepare, Promise, Propose
 from locktide.cluster.quota.lease_timing import LEADER_LEASE, lifetime_at_grantor
 
+#: Lower than any ballot of a proposer, whose counters begin at 1.
 LOWEST_BALLOT: Ballot = (0, "", 0)
 
 
 class Acceptor:
-    """One vote in the election of the leader. Times are microseconds of its own clock."""
+    """One vote in the election of the leader. Times are microseconds of its own clock.
+
+    Attributes:
+        lease_duration: how long a lease counts here, in microseconds: longer than at its owner.
+        silent_until: no message is answered before that.
+        promised: the highest ballot that was promised.
+        lease_owner: whose lease was accepted last; None where none was.
+        lease_until: when that lease ends here.
+    """
 
     def __init__(self, now: int, lease: int = LEADER_LEASE) -> None:
-        """`lease` is the duration by which the owner counts."""
+        """`lease` is the duration by which the owner counts, in microseconds."""
         self.lease_duration = lifetime_at_grantor(lease)
         self.silent_until = now + self.lease_duration
         self.promised = LOWEST_BALLOT
@@ -30,10 +39,10 @@
             return None
         ballot = message.ballot
         if ballot < self.promised:
-            return Promise(ballot, self.promised, None, True)
+            return Promise(requested=ballot, promised=self.promised, lease_owner=None, refused=True)
         self.promised = ballot
         lease_owner = self.lease_owner if now < self.lease_until else None
-        return Promise(ballot, ballot, lease_owner, False)
+        return Promise(requested=ballot, promised=ballot, lease_owner=lease_owner, refused=False)
 
     def handle_propose(self, message: Propose, now: int) -> Accepted | None:
         """Grant the lease unless a higher ballot was promised; None while silent."""
@@ -41,8 +50,8 @@
             return None
         ballot = message.ballot
         if ballot < self.promised:
-            return Accepted(ballot, self.promised, True)
+            return Accepted(requested=ballot, promised=self.promised, refused=True)
         self.promised = ballot
         self.lease_owner = message.lease_owner
         self.lease_until = now + self.lease_duration
-        return Accepted(ballot, ballot, False)
+        return Accepted(requested=ballot, promised=ballot, refused=False)
--- a/locktide/cluster/election/participant.py
+++ b/locktide/cluster/election/participant.py
@@ -9,7 +9,12 @@
 
 
 class ElectionParticipant:
-    """A member that is configured to vote, and so may become the leader as well."""
+    """A member that is configured to vote, and so may become the leader as well.
+
+    Attributes:
+        acceptor: votes on ballots.
+        proposer: begins ballots of its own.
+    """
 
     def __init__(
         self, member_id: MemberId, acceptors: list[str], generator: LinearCongruentialGenerator, now: int
--- a/locktide/cluster/election/proposer.py
+++ b/locktide/cluster/election/proposer.py
@@ -15,21 +15,45 @@
 from locktide.cluster.quota.lease_timing import LEADER_LEASE, LEADER_RENEWAL_INTERVAL
 from locktide.scheduler.estimators.random import LinearCongruentialGenerator
 
+#: Messages to send, each with the name of its receiver.
 Outgoing = list[tuple[str, Message]]
-"""Messages to send, each with the name of its receiver."""
+#: Later than any time of any clock, in microseconds.
 NEVER = 1 << 62
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderLeaseTiming:
-    """How long the leader lease lasts and how often it is renewed, in microseconds."""
+    """Times of the leader lease.
+
+    Attributes:
+        duration: how long it lasts, in microseconds.
+        renew_interval: the longest time between two ballots of its owner, in microseconds.
+    """
 
     duration: int = LEADER_LEASE
     renew_interval: int = LEADER_RENEWAL_INTERVAL
 
 
 class Proposer:
-    """One candidate for the leader lease. Times are microseconds of its own clock."""
+    """One candidate for the leader lease. Times are microseconds of its own clock.
+
+    Attributes:
+        member_id: name and generation of the candidate.
+        acceptors: the names of the members that vote.
+        lease_duration: how long an acquired lease lasts, in microseconds.
+        renew_interval: the longest time between two ballots, in microseconds.
+        ballot: the last ballot that it has begun.
+        highest_seen: the highest ballot that any acceptor has named.
+        promised_by: the acceptors that have promised the ballot.
+        accepted_by: the acceptors that have accepted it.
+        proposal_until: when the proposed lease ends; 0 before its proposals are sent.
+        lease_until: when the lease that it has ends; 0 where it has none.
+        term: the ballot with which it acquired the lease, as long as there was no gap; None while it is not
+            the leader.
+        other_leader_until: before that another member has the lease, as far as is known, and a ballot would
+            fail.
+        next_prepare_at: when the next ballot begins.
+    """
 
     def __init__(
         self,
@@ -49,10 +73,9 @@
         self.highest_seen = LOWEST_BALLOT
         self.promised_by: set[str] = set()
         self.accepted_by: set[str] = set()
-        self.proposal_until = 0  # end of the proposed lease; 0 before its proposals are sent
-        self.lease_until = 0  # the lease is ours before that, by our clock
+        self.proposal_until = 0
+        self.lease_until = 0
         self.term: Ballot | None = None
-        # Another member has the lease before that, as far as we know: a ballot would be useless.
         self.other_leader_until = 0
         self.next_prepare_at = now + generator.below(self.renew_interval)
 
@@ -62,7 +85,7 @@
         return len(self.acceptors) // 2 + 1
 
     def is_leader(self, now: int) -> bool:
-        """Whether the lease is ours; ends the term once it has expired."""
+        """Return whether the lease is ours; end the term once it has expired."""
         if now >= self.lease_until:
             self.term = None
         return self.term is not None
@@ -77,17 +100,22 @@
         was_leader = self.is_leader(now)
         if now < self.next_prepare_at:
             return []
-        # Random, so that proposers that begin at the same moment do not go on doing so.
-        half = self.renew_interval // 2
-        self.next_prepare_at = now + half + self.generator.below(half)
+        # Random, from a half to a whole interval: proposers that once begin at the same moment would else go
+        # on doing so, and each would void the other's ballot.
+        half_interval = self.renew_interval // 2
+        self.next_prepare_at = now + half_interval + self.generator.below(half_interval)
         if not was_leader and now < self.other_leader_until:
             return []
-        counter = max(self.ballot, self.highest_seen)[0] + 1
-        self.ballot = (counter, *self.member_id)
+        self._begin_ballot()
+        return [(name, Prepare(self.ballot)) for name in self.acceptors]
+
+    def _begin_ballot(self) -> None:
+        """Choose a ballot higher than any that was seen, with no votes yet."""
+        highest_counter, _, _ = max(self.ballot, self.highest_seen)
+        self.ballot = (highest_counter + 1, *self.member_id)
         self.promised_by = set()
         self.accepted_by = set()
         self.proposal_until = 0
-        return [(name, Prepare(self.ballot)) for name in self.acceptors]
 
     def handle_promise(self, sender: str, message: Promise, now: int) -> Outgoing:
         """Count a promise; once a majority has promised, propose the lease for ourselves."""
--- a/locktide/cluster/quota/account.py
+++ b/locktide/cluster/quota/account.py
@@ -7,14 +7,20 @@
 from locktide.cluster.messages import LeaseRequest
 from locktide.cluster.quota.types import Loans, QuotaDemand, QuotaShares, loans_from_wire
 
-LONG_AGO = -(1 << 62)  # before any time of any clock
+#: Before any time of any clock, in microseconds.
+LONG_AGO = -(1 << 62)
 
 
 @dataclass(slots=True)
 class OutstandingGrant:
-    """A grant that may be in force: shares before `shares_until`, loans before `loans_until`.
-
-    Loans end no later than shares.
+    """A grant that may be in force.
+
+    Attributes:
+        seq: its number in the allocator's term.
+        shares: the shares that were granted.
+        loans: the loans that were granted.
+        shares_until: when the shares count no more.
+        loans_until: when the loans count no more, which is no later.
     """
 
     seq: int
@@ -44,17 +50,25 @@
 
 @dataclass(slots=True)
 class HolderAccount:
-    """What the allocator knows of one member: its demand, and the two grants that it may hold."""
+    """What the allocator knows of one member: its demand, and the two grants that it may hold.
+
+    Attributes:
+        request_number: the number of the last request that was received.
+        heard_at: when it was received.
+        demand: the demand that the member reported.
+        confirmed: what the member reported to hold.
+        unconfirmed: a later grant, which the member has not reported yet.
+        stepped_at: when its shares last made a damped step.
+        counted: its worst case as the totals include it.
+    """
 
-    request_number: int = 0  # of the last request that was received
+    request_number: int = 0
     heard_at: int = 0
     demand: QuotaDemand = field(default_factory=dict)
-    # What the member reported, in force there until then at the latest.
     confirmed: OutstandingGrant | None = None
-    # A later grant, which the member has not reported yet.
     unconfirmed: OutstandingGrant | None = None
-    stepped_at: int = LONG_AGO  # when its shares last made a damped step
-    counted: QuotaShares = field(default_factory=dict)  # its worst case as it stands in the totals
+    stepped_at: int = LONG_AGO
+    counted: QuotaShares = field(default_factory=dict)
 
     def outstanding(self, now: int) -> list[OutstandingGrant]:
         """Return the grants that may be in force."""
@@ -89,6 +103,10 @@
                 shares_until = min(shares_until, grant.shares_until)
                 loans_until = min(loans_until, grant.loans_until)
         self.confirmed = OutstandingGrant(
-            request.seq, dict(request.held_shares), loans_from_wire(request.loans), shares_until, loans_until
+            seq=request.seq,
+            shares=dict(request.held_shares),
+            loans=loans_from_wire(request.loans),
+            shares_until=shares_until,
+            loans_until=loans_until,
         )
         self.unconfirmed = None
--- a/locktide/cluster/quota/allocation.py
+++ b/locktide/cluster/quota/allocation.py
@@ -5,16 +5,15 @@
 from collections.abc import Hashable
 from typing import TypeVar
 
+#: Millionths in a whole quota.
 WHOLE = 1_000_000
-# What every member gets of the divisible part as if it had demand: a twentieth is spread evenly, so that a
-# member whose demand begins has something beside its guaranteed minimum until the next division. With a tenth
-# a tenant with 80% at one of five members had 0.944 of its rate for 0.970 (emulated, three seeds).
+#: Fraction of the divisible part that is spread evenly over all members, so that one whose demand begins has
+#: something beside its guaranteed minimum until the next division. More of it is missing where demand is.
 EVEN_FRACTION = 0.05
-# A share makes seven tenths of its way at each division, three times a second: it has arrived after a second,
-# and a burst of a tenth of one at one member does not take everything from the others.
+#: Fraction of its way to the target that a share makes at each division, three times a second: it has arrived
+#: after a second, and a burst of a tenth of one at one member does not take everything from the others.
 DAMPING = 0.7
-# A share stays where it would change by less than a fiftieth of an even one: each change costs the burst that
-# moves with it.
+#: Least change of a share, as a fraction of an even one: each change costs the burst that moves with it.
 DEAD_BAND = 0.02
 
 
@@ -31,10 +30,18 @@
     """
     if not demand:
         return {}
-    even = int(divisible * (EVEN_FRACTION if any(demand.values()) else 1.0)) // len(demand)
+    even_fraction = EVEN_FRACTION if any(demand.values()) else 1.0
+    even = int(divisible * even_fraction) // len(demand)
     rest = divisible - even * len(demand)
+    by_demand = _shares_by_demand(demand, rest, guaranteed_minimum)
+    return {holder: even + by_demand.get(holder, 0) for holder in demand}
+
+
+def _shares_by_demand(
+    demand: dict[HolderKey, int], rest: int, guaranteed_minimum: int
+) -> dict[HolderKey, int]:
+    """Divide `rest` so that minimum and share together follow demand; holders that get none are left out."""
     demanding = {holder: amount for holder, amount in demand.items() if amount}
-    by_demand: dict[HolderKey, int] = {}
     while demanding:
         total_demand = sum(demanding.values())
         total_share = rest + guaranteed_minimum * len(demanding)
@@ -43,9 +50,9 @@
             for holder, amount in demanding.items()
         }
         if all(share >= 0 for share in by_demand.values()):
-            break
+            return by_demand
         demanding = {holder: demanding[holder] for holder, share in by_demand.items() if share >= 0}
-    return {holder: even + (by_demand[holder] if holder in demanding else 0) for holder in demand}
+    return {}
 
 
 def damped_share(current: int, target: int, even_share: int) -> int:
--- a/locktide/cluster/quota/allocation_planner.py
+++ b/locktide/cluster/quota/allocation_planner.py
@@ -11,15 +11,30 @@
 from locktide.cluster.quota.revocations import RevocationQueue
 from locktide.cluster.quota.types import Loans, QuotaDemand, QuotaShares
 
-# The demand of a member that has sent no request for so long does not count, in parts of a share's lease: it
-# may have died.
+#: For how long the demand of a member counts that sends no request, as a fraction of a share's lease: it may
+#: have died.
 DEMAND_LIFETIME = 0.5
+#: Plans in one regular interval between a member's requests.
+PLANS_PER_REQUEST_INTERVAL = 2
 
 RecentAccounts = list[tuple[MemberId, HolderAccount]]
 
 
 class AllocationPlanner:
-    """Plans anew once in half of the time between two requests of one member."""
+    """Plans anew from the demand of all members, at most twice between two requests of one member.
+
+    Attributes:
+        grants: what each member may hold at worst, with its demand.
+        revocations: where revocations are queued.
+        loan_allocator: plans the loans; None where nothing may be lent.
+        guaranteed_minimum: what each member has beside its share, in millionths of a whole.
+        replan_interval: the least time between two plans, in microseconds.
+        demand_lifetime: for how long the demand of a silent member counts, in microseconds.
+        targets: the target share of each member that has demand, by quota, in millionths.
+        planned_loans: the loans that each member should have.
+        planned_at: when the last plan was made.
+        borrowing_order: quotas whose requests borrow first.
+    """
 
     def __init__(
         self,
@@ -33,7 +48,7 @@
         self.revocations = revocations
         self.loan_allocator = loan_allocator
         self.guaranteed_minimum = guaranteed_minimum
-        self.replan_interval = timing.request_interval // 2
+        self.replan_interval = timing.request_interval // PLANS_PER_REQUEST_INTERVAL
         self.demand_lifetime = int(timing.share_lease * DEMAND_LIFETIME)
         self.targets: dict[QuotaIndex, dict[MemberId, int]] = {}
         self.planned_loans: dict[MemberId, Loans] = {}
@@ -59,26 +74,26 @@
     def _current_targets(self, now: int, may_lend: bool) -> dict[QuotaIndex, dict[MemberId, int]]:
         if now >= self.planned_at + self.replan_interval:
             self.planned_at = now
-            recent = [
-                (member_id, account)
-                for member_id, account in self.grants.accounts.items()
-                if now - account.heard_at < self.demand_lifetime
-            ]
-            lent = self._plan_loans(recent, now) if may_lend else {}
-            for quota, divisible in self.grants.divisible.items():
-                demand = {member_id: account.demand.get(quota, 0) for member_id, account in recent}
-                left = max(0, divisible - lent.get(quota, 0))
-                self.targets[quota] = target_shares(demand, left, self.guaranteed_minimum)
+            self._replan(now, may_lend)
         return self.targets
 
+    def _replan(self, now: int, may_lend: bool) -> None:
+        recent = [
+            (member_id, account)
+            for member_id, account in self.grants.accounts.items()
+            if now - account.heard_at < self.demand_lifetime
+        ]
+        lent = self._plan_loans(recent, now) if may_lend else {}
+        for quota, divisible in self.grants.divisible.items():
+            demand = {member_id: account.demand.get(quota, 0) for member_id, account in recent}
+            left = max(0, divisible - lent.get(quota, 0))
+            self.targets[quota] = target_shares(demand, left, self.guaranteed_minimum)
+
     def _plan_loans(self, recent: RecentAccounts, now: int) -> QuotaShares:
         """Plan the loans and each member's part of them; return how much of each quota is to be lent."""
         if self.loan_allocator is None:
             return {}
-        demand: QuotaDemand = {}
-        for _, account in recent:
-            for quota, amount in account.demand.items():
-                demand[quota] = demand.get(quota, 0) + amount
+        demand = _total_demand(recent)
         reclaimed = self.loan_allocator.replan(demand, self.borrowing_order, self.grants.loans(now), now)
         self.revocations.revoke(reclaimed, now)
         lent: QuotaShares = {}
@@ -90,3 +105,12 @@
                 if member_share := share * account.demand.get(key.borrower, 0) // total:
                     self.planned_loans[member_id][key] = member_share
         return lent
+
+
+def _total_demand(recent: RecentAccounts) -> QuotaDemand:
+    """Return the demand of all these members together."""
+    total: QuotaDemand = {}
+    for _, account in recent:
+        for quota, amount in account.demand.items():
+            total[quota] = total.get(quota, 0) + amount
+    return total
--- a/locktide/cluster/quota/allocator.py
+++ b/locktide/cluster/quota/allocator.py
@@ -40,15 +40,21 @@
 from locktide.cluster.quota.revocations import PendingRevocation, RevocationQueue
 from locktide.cluster.quota.types import Loans, QuotaShares, loans_to_wire
 
-# Loans in one grant: what fits a datagram beside fifty shares and the demand of as many quotas.
+#: Loans in one grant: what fits a datagram beside fifty shares and the demand of as many quotas.
 MAX_LOANS_PER_GRANT = 24
+#: Damped steps of one member's shares in one regular interval between its requests. Several requests that
+#: report in quick succession what was given back must not make a step each, which would undo the damping.
+STEPS_PER_REQUEST_INTERVAL = 2
 
 
 @dataclass(frozen=True, slots=True)
 class AllocatorConfig:
-    """`divisible`: how much of each quota is divided, in millionths of its whole.
+    """What an allocator divides.
 
-    `guaranteed_minimum` is what each member has of every quota beside that.
+    Attributes:
+        divisible: how much of each quota is divided, in millionths of its whole.
+        guaranteed_minimum: what each member has of every quota beside that, in the same unit.
+        timing: durations of the leases.
     """
 
     divisible: QuotaShares
@@ -57,7 +63,23 @@
 
 
 class Allocator:
-    """Answers the members' requests during one term of this leader."""
+    """Answers the members' requests during one term of this leader.
+
+    Times are microseconds of the leader's clock.
+
+    Attributes:
+        term: the term of the leader.
+        divisible: how much of each quota is divided, in millionths of its whole.
+        loan_allocator: plans the loans; None where nothing may be lent.
+        share_lifetime: how long a grant of shares counts here, in microseconds.
+        loan_lifetime: how long a grant of loans counts here, in microseconds.
+        step_interval: the least time between two damped steps of one member's shares.
+        renew_only_until: when all that earlier leaders granted has expired.
+        seq: the number of the last grant.
+        grants: what each member may hold at worst.
+        revocations: revocations that are to be sent.
+        planner: target shares and planned loans.
+    """
 
     def __init__(
         self, term: Ballot, config: AllocatorConfig, now: int, loan_allocator: LoanAllocator | None = None
@@ -68,13 +90,17 @@
         self.loan_allocator = loan_allocator
         self.share_lifetime = lifetime_at_grantor(timing.share_lease)
         self.loan_lifetime = lifetime_at_grantor(timing.loan_lease)
-        self.step_interval = timing.request_interval // 2
-        self.renew_only_until = now + self.share_lifetime  # by then all that earlier leaders gave is over
+        self.step_interval = timing.request_interval // STEPS_PER_REQUEST_INTERVAL
+        self.renew_only_until = now + self.share_lifetime
         self.seq = 0
         self.grants = OutstandingGrants(config.divisible, self.share_lifetime)
         self.revocations = RevocationQueue(term, self.grants, loan_allocator)
         self.planner = AllocationPlanner(
-            self.grants, self.revocations, loan_allocator, config.guaranteed_minimum, timing
+            self.grants,
+            self.revocations,
+            loan_allocator,
+            guaranteed_minimum=config.guaranteed_minimum,
+            timing=timing,
         )
 
     def set_borrowing_order(self, order: list[QuotaIndex]) -> None:
@@ -95,32 +121,56 @@
         self._reclaim_for(account, now)
         if request.leaving:
             return None
-        # Guards against a step for each of the requests that report at once what was given back.
-        may_step = now >= account.stepped_at + self.step_interval
-        if may_step:
-            account.stepped_at = now
+        may_step = self._may_step(account, now)
         held = request.held_shares
         shares = {
             quota: self.share_for(member_id, quota, held.get(quota, 0), may_step, now)
             for quota in self.divisible
         }
         loans = self._loans_for(member_id, shares, now)
-        self.seq += 1
-        loans_until = now + self.loan_lifetime if loans else now
-        account.unconfirmed = OutstandingGrant(
-            self.seq, shares, loans, now + self.share_lifetime, loans_until
+        self._record_grant(member_id, account, shares, loans, now)
+        return LeaseGrant(
+            term=self.term,
+            number=request.number,
+            seq=self.seq,
+            shares=shares,
+            loans=loans_to_wire(loans),
+            more_expected=self._awaits_reclaim(member_id, account, shares, now),
         )
-        self.grants.update(member_id, now)
-        more_expected = self._awaits_reclaim(member_id, account, shares, now)
-        return LeaseGrant(self.term, request.number, self.seq, shares, loans_to_wire(loans), more_expected)
 
     def _record_request(
         self, member_id: MemberId, account: HolderAccount, request: LeaseRequest, now: int
     ) -> None:
-        account.request_number, account.heard_at = request.number, now
+        account.request_number = request.number
+        account.heard_at = now
         account.demand = {} if request.leaving else request.demand
-        same_term = request.held_term == self.term
-        account.confirm(request, now + self.share_lifetime, now + self.loan_lifetime, same_term)
+        account.confirm(
+            request,
+            shares_until=now + self.share_lifetime,
+            loans_until=now + self.loan_lifetime,
+            same_term=request.held_term == self.term,
+        )
+        self.grants.update(member_id, now)
+
+    def _may_step(self, account: HolderAccount, now: int) -> bool:
+        """Return whether the member's shares may make a damped step now, and note that they do."""
+        if now < account.stepped_at + self.step_interval:
+            return False
+        account.stepped_at = now
+        return True
+
+    def _record_grant(
+        self, member_id: MemberId, account: HolderAccount, shares: QuotaShares, loans: Loans, now: int
+    ) -> None:
+        """Count a new grant as what the member may hold beside what it has confirmed."""
+        self.seq += 1
+        account.unconfirmed = OutstandingGrant(
+            seq=self.seq,
+            shares=shares,
+            loans=loans,
+            shares_until=now + self.share_lifetime,
+            loans_until=now + self.loan_lifetime if loans else now,
+        )
         self.grants.update(member_id, now)
 
     def _reclaim_for(self, account: HolderAccount, now: int) -> None:
@@ -134,7 +184,7 @@
             self.revocations.revoke(reclaimed, now)
 
     def _may_give_more(self, now: int) -> bool:
-        """Whether all grants of earlier leaders are over, so that more than a renewal is safe."""
+        """Return whether all grants of earlier leaders are over, so that more than a renewal is safe."""
         return now >= self.renew_only_until
 
     def _target(self, member_id: MemberId, quota: QuotaIndex, now: int) -> int:
@@ -154,21 +204,22 @@
         return max(0, min(wanted, available))
 
     def _is_reclaiming(self, quota: QuotaIndex, now: int) -> bool:
-        """Whether the quota was reclaimed so lately that its shares follow demand at once."""
+        """Return whether the quota was reclaimed so lately that its shares follow demand at once."""
         return self.loan_allocator is not None and self.loan_allocator.is_reclaiming(quota, now)
 
     def _awaits_reclaim(
         self, member_id: MemberId, account: HolderAccount, shares: QuotaShares, now: int
     ) -> bool:
-        """Whether the member should have more of a reclaimed quota, once that is given back."""
+        """Return whether the member should have more of a reclaimed quota, once that is given back."""
         if not self._may_give_more(now):
             return False
-        short = [
-            quota
-            for quota in account.demand
-            if self._is_reclaiming(quota, now)
-            and shares.get(quota, 0) < self._target(member_id, quota, now) * (1.0 - DEAD_BAND)
-        ]
+        short: list[QuotaIndex] = []
+        for quota in account.demand:
+            if not self._is_reclaiming(quota, now):
+                continue
+            target = self._target(member_id, quota, now)
+            if shares.get(quota, 0) < target * (1.0 - DEAD_BAND):
+                short.append(quota)
         self.revocations.revoke_again(short, now)
         return bool(short)
 
--- a/locktide/cluster/quota/lease_holder.py
+++ b/locktide/cluster/quota/lease_holder.py
@@ -6,32 +6,66 @@
 
 from __future__ import annotations
 
+from collections.abc import Hashable, Mapping
+from typing import TypeVar
+
 from locktide.cluster.messages import Ballot, LeaseGrant, LeaseRequest, LeaseRevocation, MemberId
 from locktide.cluster.quota.lease_timing import DEFAULT_TIMING, LeaseTiming
 from locktide.cluster.quota.types import Loans, QuotaDemand, QuotaShares, loans_from_wire, loans_to_wire
 
+Key = TypeVar("Key", bound=Hashable)
+
+#: Requests in one regular interval while the holder waits for more than it has: what others give back is
+#: granted to it with its next request.
+WAITING_REQUESTS_PER_INTERVAL = 4
+#: The same after something has changed that the leader should know of at once.
+URGENT_REQUESTS_PER_INTERVAL = 8
+
 
 class LeaseHolder:
-    """Requests leases from the leader and keeps what was granted; all times are this member's clock."""
+    """Requests leases from the leader and keeps what was granted.
+
+    Times are microseconds of this member's clock.
+
+    Attributes:
+        member_id: name and generation of this member.
+        share_lease: how long shares are leased, in microseconds.
+        loan_lease: how long loans are leased, in microseconds.
+        request_interval: the regular time between two requests, in microseconds.
+        waiting_interval: the same while it waits for more than it has.
+        urgent_interval: the least time between two requests, after something has changed.
+        shares: the shares of the last grant; in force before `shares_until`.
+        shares_until: when they expire.
+        loans: the loans of the last grant; in force before `loans_until`.
+        loans_until: when they expire.
+        grant_term: the term of the grant in force; None before the first one.
+        seq: the number of the grant in force, in its term.
+        term: the term of the leader to whom requests are sent; None while no leader is known.
+        request_number: the number of the last request.
+        requested_at: when it was sent.
+        next_request_at: when the next request is due.
+        urgent_until: before that an unanswered request is soon followed by another.
+        leaving: whether the last request was sent.
+    """
 
     def __init__(self, member_id: MemberId, now: int, timing: LeaseTiming = DEFAULT_TIMING) -> None:
         self.member_id = member_id
         self.share_lease = timing.share_lease
         self.loan_lease = timing.loan_lease
         self.request_interval = timing.request_interval
-        self.waiting_interval = timing.request_interval // 4  # while it waits for more than it has
-        self.urgent_interval = timing.request_interval // 8  # after something has changed
+        self.waiting_interval = timing.request_interval // WAITING_REQUESTS_PER_INTERVAL
+        self.urgent_interval = timing.request_interval // URGENT_REQUESTS_PER_INTERVAL
         self.shares: QuotaShares = {}
-        self.shares_until = 0  # in force before that
+        self.shares_until = 0
         self.loans: Loans = {}
         self.loans_until = 0
-        self.grant_term: Ballot | None = None  # of the grant in force
-        self.seq = 0  # of the grant in force
-        self.term: Ballot | None = None  # under which requests are sent
+        self.grant_term: Ballot | None = None
+        self.seq = 0
+        self.term: Ballot | None = None
         self.request_number = 0
         self.requested_at = 0
         self.next_request_at = now
-        self.urgent_until = 0  # before that an unanswered request is soon followed by another
+        self.urgent_until = 0
         self.leaving = False
 
     def current_shares(self, now: int) -> QuotaShares:
@@ -49,7 +83,8 @@
     def observe_leader(self, term: Ballot, now: int) -> None:
         """Follow a leader of a later term."""
         if self.term is None or term > self.term:
-            self.term, self.next_request_at = term, now
+            self.term = term
+            self.next_request_at = now
 
     @property
     def due(self) -> int:
@@ -57,7 +92,7 @@
         return self.next_request_at
 
     def request_soon(self, now: int) -> None:
-        """Demand has begun that the leader should know of at once."""
+        """Advance the next request, as demand has begun that the leader should know of at once."""
         self.urgent_until = now + self.share_lease
         self._advance_request(now)
 
@@ -80,29 +115,41 @@
         loans = loans_to_wire(self.current_loans(now))
         held_term = self.grant_term if shares or loans else None
         return LeaseRequest(
-            term, self.request_number, held_term, self.seq, shares, demand, loans, self.leaving
+            term=term,
+            number=self.request_number,
+            held_term=held_term,
+            seq=self.seq,
+            held_shares=shares,
+            demand=demand,
+            loans=loans,
+            leaving=self.leaving,
         )
 
     def accept_grant(self, grant: LeaseGrant, now: int) -> bool:
         """Put the grant in force if it answers the latest request in time; return whether it does."""
-        if grant.term != self.term or grant.number != self.request_number or self.leaving:
+        if not self._is_answer(grant, now):
             return False
-        if now >= self.requested_at + self.share_lease:
-            return False
-        previous_shares, previous_loans = self.current_shares(now), self.current_loans(now)
+        previous_shares = self.current_shares(now)
+        previous_loans = self.current_loans(now)
+        self.shares = dict(grant.shares)
+        self.shares_until = self.requested_at + self.share_lease
+        self.loans = loans_from_wire(grant.loans)
+        self.loans_until = self.requested_at + self.loan_lease
+        self.grant_term = grant.term
+        self.seq = grant.seq
         self.urgent_until = 0
         interval = self.waiting_interval if grant.more_expected else self.request_interval
         self.next_request_at = self.requested_at + interval
-        self.shares, self.grant_term, self.seq = dict(grant.shares), grant.term, grant.seq
-        self.loans = loans_from_wire(grant.loans)
-        gave_shares = any(self.shares.get(quota, 0) < share for quota, share in previous_shares.items())
-        if gave_shares or any(self.loans.get(key, 0) < share for key, share in previous_loans.items()):
-            # Reports soon that it has given something back: only then others can have it.
+        if _has_less(self.shares, previous_shares) or _has_less(self.loans, previous_loans):
+            # What was given back is granted to others only once the leader has a report of it.
             self.next_request_at = min(self.next_request_at, now + self.urgent_interval)
-        self.shares_until = self.requested_at + self.share_lease
-        self.loans_until = self.requested_at + self.loan_lease
         return True
 
+    def _is_answer(self, grant: LeaseGrant, now: int) -> bool:
+        """Return whether the grant answers the latest request, and its shares have not expired."""
+        is_latest = grant.term == self.term and grant.number == self.request_number
+        return is_latest and not self.leaving and now < self.requested_at + self.share_lease
+
     def accept_revocation(self, revocation: LeaseRevocation, now: int) -> None:
         """Let go of the loans at once, and request soon, so that shares that are not needed move, too."""
         if revocation.term != self.term:
@@ -113,10 +160,17 @@
 
     def drop(self) -> None:
         """Let go of everything at once."""
-        self.shares, self.shares_until, self.loans = {}, 0, {}
+        self.shares = {}
+        self.shares_until = 0
+        self.loans = {}
 
     def leave(self, now: int) -> LeaseRequest | None:
-        """Let go of everything; return the last request, which tells the leader so."""
+        """Let go of everything; return the last request, which notifies the leader of that."""
         self.drop()
         self.leaving = True
         return self._build_request(self.term, {}, now) if self.term is not None else None
+
+
+def _has_less(current: Mapping[Key, int], previous: Mapping[Key, int]) -> bool:
+    """Return whether anything is smaller than it was, or is there no more."""
+    return any(current.get(key, 0) < amount for key, amount in previous.items())
--- a/locktide/cluster/quota/lease_timing.py
+++ b/locktide/cluster/quota/lease_timing.py
@@ -14,24 +14,35 @@
 
 from dataclasses import dataclass
 
-# Parts in a million by which a clock's rate may be off. Crystals are within 100, a clock that is being slewed
-# by NTP within 500; twice that.
+MILLION = 1_000_000
+
+#: By how much the rate of a clock may be off, in parts in a million. Crystals are within 100, a clock that is
+#: being slewed by NTP within 500; this is twice that.
 MAX_CLOCK_DRIFT = 1_000
-# Leases of the leader and of quota shares. Shorter ones redistribute sooner after a death and send more
-# messages; below about a second a busy dispatcher's own pauses would cost it its shares.
+#: Duration of the leader lease and of a lease of quota shares, in microseconds. Shorter ones redistribute
+#: sooner after a death and send more messages; below about a second a busy dispatcher's own pauses would cost
+#: it its shares.
 LEADER_LEASE = 2_000_000
 SHARE_LEASE = 2_000_000
-# How often the leader renews its lease and members request shares: three tries fit into a lease.
+#: Longest time between two ballots of the leader, and time between two requests of a member, in microseconds:
+#: three attempts fit into a lease.
 LEADER_RENEWAL_INTERVAL = 500_000
 REQUEST_INTERVAL = 300_000
-# A loan is shorter than a share: with all of its borrowers cut off, its lender waits for this and little
-# more, within a second of its return. One late or lost request of the borrower fits in.
+#: Duration of a loan, in microseconds, shorter than that of a share: with all of its borrowers cut off, its
+#: lender waits for this and little more, within a second of its return. One late or lost request of the
+#: borrower fits in.
 LOAN_LEASE = 500_000
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """How long shares and loans are leased and how often they are requested, in microseconds."""
+    """Times of quota leases.
+
+    Attributes:
+        share_lease: how long shares are leased, in microseconds.
+        loan_lease: how long loans are leased, in microseconds.
+        request_interval: the time between two requests of one member, in microseconds.
+    """
 
     share_lease: int = SHARE_LEASE
     loan_lease: int = LOAN_LEASE
@@ -44,6 +55,10 @@
 def lifetime_at_grantor(span: int, drift: int = MAX_CLOCK_DRIFT) -> int:
     """Return how long the grantor waits until `span` has passed on the holder's clock, whatever the rates.
 
-    Whole microseconds, rounded up.
+    Both are in whole microseconds; the result is rounded up. `drift` is in parts in a million: the holder's
+    clock may be slow by it, and the grantor's fast.
     """
-    return -(-span * (1_000_000 + drift) // (1_000_000 - drift)) + 1
+    fastest_grantor = MILLION + drift
+    slowest_holder = MILLION - drift
+    rounded_up = -(-span * fastest_grantor // slowest_holder)
+    return rounded_up + 1
--- a/locktide/cluster/quota/local_quota.py
+++ b/locktide/cluster/quota/local_quota.py
@@ -11,18 +11,27 @@
 from locktide.cluster.quota.allocation import WHOLE
 from locktide.cluster.quota.token_bucket import TokenBucket
 
-NamedShares = dict[str, int]  # millionths of each quota's whole
+#: Shares by the name of the quota, in millionths of its whole.
+NamedShares = dict[str, int]
+#: Demand by the name of the quota, in tokens.
 NamedDemand = dict[str, int]
-LoanNames = tuple[str, str]  # lender and borrower
-NamedLoans = dict[LoanNames, int]  # millionths of the lender's whole
+#: The names of the lending and the borrowing quota.
+LoanNames = tuple[str, str]
+#: Loans, in millionths of the lender's whole.
+NamedLoans = dict[LoanNames, int]
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaSpec:
-    """A whole quota: a rate with its burst, in tokens (a second).
-
-    With a rate of 0 it is only divided, and what it limits is counted elsewhere. `lendable`: what is not used
-    of it may be lent; never so for the capacity of workers that are warming up.
+    """A whole quota.
+
+    Attributes:
+        name: the name of the quota.
+        rate: its rate, in tokens a second; 0 where it is only divided, and what it limits is counted
+            elsewhere.
+        burst: its burst, in tokens.
+        lendable: whether what is not used of it may be lent; never so for the capacity of workers that are
+            warming up.
     """
 
     name: str
@@ -32,12 +41,32 @@
 
 
 class LocalQuota:
-    """Shares in force with their token buckets, loans in force with theirs, and the demand seen here."""
+    """Shares in force with their token buckets, loans in force with theirs, and the demand seen here.
+
+    Times are microseconds of the member's clock.
+
+    Attributes:
+        guaranteed_minimum: what this member has of each quota without a lease, in millionths of its whole.
+        divisible: what is left of each quota beside the minimums of all members, in the same unit.
+        specs: the quotas by name.
+        shares: the shares in force, the minimum included.
+        shares_until: when the lease of the shares expires; 0 where there is none.
+        buckets: the tokens of the shares, by quota; none for a quota that is only divided.
+        demand_counts: the tokens that were asked for, halved at each decay.
+        demand_peaks: the same just before the last decay.
+        loans: the loans in force.
+        loans_until: when the loans expire; 0 where there are none.
+        loan_buckets: the tokens of the loans.
+    """
 
     def __init__(self, specs: list[QuotaSpec], reserve: float, max_processes: int, now: int) -> None:
         """Start with the guaranteed minimums.
 
-        `reserve`: the part of each whole that is spread evenly as minimums over `max_processes`.
+        Args:
+            specs: the quotas.
+            reserve: the fraction of each whole that is spread evenly as guaranteed minimums.
+            max_processes: how many processes may run at once, over which it is spread.
+            now: the time.
         """
         self.guaranteed_minimum = int(WHOLE * reserve) // max_processes
         self.divisible = WHOLE - self.guaranteed_minimum * max_processes
@@ -49,8 +78,8 @@
             for spec in specs
             if spec.rate
         }
-        self.demand_counts: NamedDemand = {spec.name: 0 for spec in specs}  # decaying
-        self.demand_peaks: NamedDemand = dict(self.demand_counts)  # the same, just before the last decay
+        self.demand_counts: NamedDemand = {spec.name: 0 for spec in specs}
+        self.demand_peaks: NamedDemand = dict(self.demand_counts)
         self.loans: NamedLoans = {}
         self.loans_until = 0
         self.loan_buckets: dict[LoanNames, TokenBucket] = {}
@@ -58,7 +87,15 @@
     def update(
         self, held: NamedShares, shares_until: int, loans: NamedLoans, loans_until: int, now: int
     ) -> bool:
-        """Put in force what is held from now on; return whether anything has changed."""
+        """Put in force what is held from now on; return whether anything has changed.
+
+        Args:
+            held: the shares that are leased, beside the guaranteed minimum.
+            shares_until: when that lease expires.
+            loans: the loans that are leased.
+            loans_until: when these expire.
+            now: the time.
+        """
         changed = self.expire(now)
         for name, previous in self.shares.items():
             share = self.guaranteed_minimum + held.get(name, 0)
@@ -68,7 +105,8 @@
         if loans != self.loans:
             changed = True
             self._set_loans(loans, now)
-        self.shares_until, self.loans_until = shares_until, loans_until
+        self.shares_until = shares_until
+        self.loans_until = loans_until
         return changed
 
     def _set_share(self, name: str, share: int, now: int) -> None:
@@ -77,37 +115,49 @@
             self.buckets[name].set_share(share, now)
 
     def _set_loans(self, loans: NamedLoans, now: int) -> None:
-        """A loan that has grown brings no tokens, as with shares; one that is over takes them with it."""
+        """Put loans in force: a larger one brings no tokens, one that is over takes its tokens with it."""
         for names in self.loan_buckets.keys() - loans.keys():
             del self.loan_buckets[names]
         for names, share in loans.items():
-            lender = self.specs[names[0]]
+            lender_name, _ = names
+            lender = self.specs[lender_name]
             if names not in self.loan_buckets:
                 self.loan_buckets[names] = TokenBucket(lender.rate, lender.burst, share, now)
             self.loan_buckets[names].set_share(share, now)
         self.loans = dict(loans)
 
     def expire(self, now: int) -> bool:
-        """Return to the guaranteed minimums, from the very end of the lease on; loans may end before that.
+        """End what has expired, from the very moment of its expiry on; return whether anything has changed.
 
-        Returns whether anything has changed.
+        Called before tokens are spent, too. A process that was stopped past an expiry may get a request
+        before its timer: with tokens of an expired lease, all members together would spend more than the
+        whole. tests/cluster/test_quota.py and test_borrowing.py stop a process like that.
         """
-        changed = False
-        if self.loans and now >= min(self.loans_until, self.shares_until):
-            self._set_loans({}, now)
-            changed = True
+        loans_ended = self._expire_loans(now)
+        shares_ended = self._expire_shares(now)
+        return loans_ended or shares_ended
+
+    def _expire_loans(self, now: int) -> bool:
+        """End the loans at their expiry, or at that of the shares if it is earlier."""
+        if not self.loans or now < min(self.loans_until, self.shares_until):
+            return False
+        self._set_loans({}, now)
+        return True
+
+    def _expire_shares(self, now: int) -> bool:
+        """Return to the guaranteed minimums at the expiry of the shares."""
         minimum = self.guaranteed_minimum
         if now < self.shares_until or all(share == minimum for share in self.shares.values()):
-            return changed
+            return False
         for name in self.shares:
             self._set_share(name, minimum, self.shares_until)
         return True
 
     def record_demand(self, name: str, tokens: int = 1) -> bool:
         """Count tokens as demand, which the division follows; return whether there was none before."""
-        before = self.demand_counts.get(name, 0)
-        self.demand_counts[name] = before + tokens
-        return not before
+        previous = self.demand_counts.get(name, 0)
+        self.demand_counts[name] = previous + tokens
+        return previous == 0
 
     def decay_demand(self) -> None:
         """Halve the demand; called with each regular request."""
--- a/locktide/cluster/quota/outstanding_grants.py
+++ b/locktide/cluster/quota/outstanding_grants.py
@@ -8,15 +8,22 @@
 from locktide.cluster.quota.account import HolderAccount
 from locktide.cluster.quota.types import Loans, QuotaShares
 
-# Lifetimes of a share for which a silent member's account is kept once nothing of it can be in force.
+#: For how many lifetimes of a share a silent member's account is kept once nothing of it can be in force.
 RETENTION_LIFETIMES = 10
 
 
 class OutstandingGrants:
-    """Accounts by member. `totals` is the sum over them of what each may hold at worst.
+    """Accounts by member, and their sums.
 
     An account is brought up to date when it changes and when something in it expires. Between an expiry and
     that moment the total is too large, never too small.
+
+    Attributes:
+        divisible: how much of each quota is divided, in millionths of its whole.
+        share_lifetime: how long a grant of shares counts, in microseconds.
+        accounts: the account of each member.
+        totals: the sum over all accounts of what each member may hold at worst, by quota, in millionths.
+        expiries: a heap of the times at which an account may count less, with its member.
     """
 
     def __init__(self, divisible: QuotaShares, share_lifetime: int) -> None:
@@ -24,7 +31,7 @@
         self.share_lifetime = share_lifetime
         self.accounts: dict[MemberId, HolderAccount] = {}
         self.totals: QuotaShares = dict.fromkeys(divisible, 0)
-        self.expiries: list[tuple[int, MemberId]] = []  # a heap: when each account may count less
+        self.expiries: list[tuple[int, MemberId]] = []
 
     def expire(self, now: int) -> None:
         """Bring up to date the accounts of which something has expired."""
@@ -40,12 +47,13 @@
     def update(self, member_id: MemberId, now: int) -> None:
         """Bring the totals up to date with one account; forget it once nothing of it can be in force."""
         account = self.accounts[member_id]
-        worst, counted = account.worst_case(now), account.counted
+        worst = account.worst_case(now)
         for quota in self.divisible:
-            self.totals[quota] += worst.get(quota, 0) - counted.get(quota, 0)
+            self.totals[quota] += worst.get(quota, 0) - account.counted.get(quota, 0)
         account.counted = worst
-        if ends := [end for grant in account.outstanding(now) for end in grant.expiries_after(now)]:
-            heappush(self.expiries, (min(ends), member_id))
+        expiries = [expiry for grant in account.outstanding(now) for expiry in grant.expiries_after(now)]
+        if expiries:
+            heappush(self.expiries, (min(expiries), member_id))
         elif now - account.heard_at > RETENTION_LIFETIMES * self.share_lifetime:
             del self.accounts[member_id]
         else:
--- a/locktide/cluster/quota/revocations.py
+++ b/locktide/cluster/quota/revocations.py
@@ -6,11 +6,19 @@
 from locktide.cluster.messages import Ballot, LeaseRevocation, MemberId, QuotaIndex
 from locktide.cluster.quota.outstanding_grants import OutstandingGrants
 
+#: A revocation with the member that it is for.
 PendingRevocation = tuple[MemberId, LeaseRevocation]
 
 
 class RevocationQueue:
-    """Tells members to let go of loans. A revocation only makes haste: a loan ends by itself."""
+    """Notifies members to let go of loans. A revocation only makes haste: a loan ends by itself.
+
+    Attributes:
+        term: the term of the leader.
+        grants: what each member may hold at worst.
+        loan_allocator: plans the loans; None where nothing may be lent.
+        pending: the revocations that are to be sent.
+    """
 
     def __init__(self, term: Ballot, grants: OutstandingGrants, loan_allocator: LoanAllocator | None) -> None:
         self.term = term
@@ -39,7 +47,8 @@
 
     def take(self) -> list[PendingRevocation]:
         """Return what is to be sent, and forget it."""
-        pending, self.pending = self.pending, []
+        pending = self.pending
+        self.pending = []
         return pending
 
     def _add(self, member_id: MemberId, lenders: list[QuotaIndex]) -> None:
--- a/locktide/cluster/quota/types.py
+++ b/locktide/cluster/quota/types.py
@@ -6,20 +6,20 @@
 
 from locktide.cluster.messages import LoanTriple, Millionths, QuotaIndex
 
-# Each member's share of each quota, in millionths of that quota's whole.
+#: Shares of quotas, in millionths of each quota's whole.
 QuotaShares = dict[QuotaIndex, Millionths]
-# How much of each quota is asked for, in the quota's own unit.
+#: How much of each quota is demanded, in the quota's own unit.
 QuotaDemand = dict[QuotaIndex, int]
 
 
 class LoanKey(NamedTuple):
-    """Whose quota is lent, and to which quota's requests."""
+    """A loan's lending quota, and the quota whose requests borrow it."""
 
     lender: QuotaIndex
     borrower: QuotaIndex
 
 
-# Millionths of the lender's whole.
+#: Loans, in millionths of the lender's whole.
 Loans = dict[LoanKey, Millionths]
 
 
--- a/locktide/cluster/quota_names.py
+++ b/locktide/cluster/quota_names.py
@@ -6,14 +6,19 @@
 
 from locktide.cluster.quota.types import Loans
 
+#: An amount for each quota by its index.
 QuotaIndices = dict[int, int]
-"""An amount for each quota by its index."""
 
 
 class QuotaNames:
     """The sorted names of all quotas.
 
-    Members whose `checksum` differs have different quotas configured, and do not divide them together.
+    Members whose checksums differ have different quotas configured, and do not divide them together.
+
+    Attributes:
+        names: the names in their order.
+        indices: the index of each name in messages.
+        checksum: the CRC-32 of all names.
     """
 
     def __init__(self, names: list[str]) -> None:
--- a/tests/cluster/test_borrowing.py
+++ b/tests/cluster/test_borrowing.py
@@ -213,9 +213,9 @@
     """A member that was lent something lends it to another."""
     update = LocalQuota.update
 
-    def lend_on(self: Any, held: Any, until: int, loans: Any, loans_until: int, now: int) -> bool:
+    def lend_on(self: Any, held: Any, shares_until: int, loans: Any, loans_until: int, now: int) -> bool:
         more = {(borrower, "other"): share // 2 for (_, borrower), share in loans.items()}
-        return update(self, held, until, loans | more, loans_until, now)
+        return update(self, held, shares_until, loans | more, loans_until, now)
 
     monkeypatch.setattr(LocalQuota, "update", lend_on)
 
@@ -224,8 +224,8 @@
     """A loan's end is ignored, and so is its revocation."""
     update = LocalQuota.update
 
-    def keep(self: Any, held: Any, until: int, loans: Any, loans_until: int, now: int) -> bool:
-        return update(self, held, until, loans, 1 << 60 if loans else 0, now)
+    def keep(self: Any, held: Any, shares_until: int, loans: Any, loans_until: int, now: int) -> bool:
+        return update(self, held, shares_until, loans, 1 << 60 if loans else 0, now)
 
     monkeypatch.setattr(LeaseHolder, "current_loans", lambda self, now: self.loans)
     monkeypatch.setattr(LeaseHolder, "accept_revocation", lambda self, revocation, now: None)
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -83,4 +83,4 @@
         body[generator.randrange(len(body))] = generator.randrange(256)
         envelope = decode(crc32(bytes(body)).to_bytes(4, "big") + bytes(body))
         if envelope is not None:
-            member.handle(envelope, member.next_heartbeat_at)
+            member.handle(envelope, member.leadership.next_heartbeat_at)
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -153,8 +153,8 @@
 def forgets_expiry(monkeypatch: pytest.MonkeyPatch) -> None:
     settle = purse.LocalQuota.update
 
-    def kept(self: Any, held: Any, until: int, loans: Any, loans_until: int, now: int) -> bool:
-        moved = settle(self, held, until, loans, loans_until, now)
+    def kept(self: Any, held: Any, shares_until: int, loans: Any, loans_until: int, now: int) -> bool:
+        moved = settle(self, held, shares_until, loans, loans_until, now)
         self.shares_until = 1 << 61 if held else 0
         return moved
 
