--- a/locktide/dispatcher/dispatcher.py
+++ b/locktide/dispatcher/dispatcher.py
@@ -93,18 +93,9 @@
         self._apply_settings(start)
         self._assemble_attempt_endings()
         self._assemble_requests()
-        self._assemble_commands()
         self._assemble_endpoint_list(known)
+        self._assemble_commands()
         self._assemble_process(start.listen)
-        self.bridge.connect(
-            CommandExecutor(
-                request_commands=self.request_commands,
-                bridge=self.bridge,
-                upstream=self.upstream,
-                follower=self.follower,
-                log=log,
-            ).execute
-        )
         self.endpoint_list.apply_cached(known)
 
     def _open_transport(self, start: Start, system: System, upstream: UpstreamPool | None) -> None:
@@ -181,8 +172,24 @@
             endpoints=self.endpoints,
         )
 
+    def _assemble_endpoint_list(self, known: DiscoveryUpdate) -> None:
+        """Create what follows and applies the endpoint list."""
+        self.endpoint_list = EndpointListHandler(
+            endpoints=self.endpoints,
+            upstream=self.upstream,
+            cancellations=self.cancellations,
+            bridge=self.bridge,
+        )
+        self.follower = EndpointFollower(
+            settings=self.settings,
+            endpoint_list=self.endpoint_list,
+            bridge=self.bridge,
+            log=self.log,
+            cached_version=known.version if known.entries else None,
+        )
+
     def _assemble_commands(self) -> None:
-        """Create what executes the scheduler's commands about requests."""
+        """Create what executes the scheduler's commands, and connect it."""
         self.failures = FailureResponder(
             registry=self.registry, cancellations=self.cancellations, log=self.log
         )
@@ -201,29 +208,21 @@
             ),
             log=self.log,
         )
-        self.request_commands = RequestCommandExecutor(
+        request_commands = RequestCommandExecutor(
             registry=self.registry,
             state=self.state,
             attempts=self.attempts,
             cancellations=self.cancellations,
             failures=self.failures,
         )
-
-    def _assemble_endpoint_list(self, known: DiscoveryUpdate) -> None:
-        """Create what follows and applies the endpoint list."""
-        self.endpoint_list = EndpointListHandler(
-            endpoints=self.endpoints,
-            upstream=self.upstream,
-            cancellations=self.cancellations,
-            bridge=self.bridge,
-        )
-        self.follower = EndpointFollower(
-            settings=self.settings,
-            endpoint_list=self.endpoint_list,
+        executor = CommandExecutor(
+            request_commands=request_commands,
             bridge=self.bridge,
+            upstream=self.upstream,
+            follower=self.follower,
             log=self.log,
-            cached_version=known.version if known.entries else None,
         )
+        self.bridge.connect(executor.execute)
 
     def _assemble_process(self, listen_address: Address) -> None:
         """Create what starts, reloads and shuts down."""
--- a/tests/dispatcher/test_callbacks.py
+++ b/tests/dispatcher/test_callbacks.py
@@ -10,6 +10,11 @@
 
 
 def test_callback_done_of_the_running_attempt_is_the_response_and_others_change_nothing() -> None:
+    """Callbacks come before the 202, from workers that do not have the job, for requests that are not open,
+    and twice. Only the one of the worker that has the attempt may end it. The client must get that result
+    once, and the scheduler one outcome.
+    """
+
     async def story(play: HandPlayed) -> None:
         answer = play.node.submit(submission("a"))
         assert answer is not None
@@ -30,6 +35,11 @@
 
 
 def test_callback_for_an_attempt_that_is_not_sent_is_ignored() -> None:
+    """A repeated callback about an earlier attempt may come while a new attempt at that worker waits for its
+    connection. Taken for the outcome of the new one, it would allow a retry beside a job that is sent
+    later. An attempt whose last byte was not sent has no callback.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a"))
         shot = await play.ordered("a")
--- a/tests/dispatcher/test_cancellation.py
+++ b/tests/dispatcher/test_cancellation.py
@@ -45,7 +45,13 @@
 
 
 def test_accepted_attempt_does_not_end_while_its_worker_cannot_be_reached() -> None:
-    # zone+mass: withdrawn at 23.4 s, two connections that did not come up, sent elsewhere at 33.5 s.
+    """A zone was cut off and a worker in it had accepted a job.
+
+    Its attempt was cancelled at 23.4 s over two connections that did not come up, and the job was sent
+    elsewhere at 33.5 s: a second copy. As long as the worker cannot be reached, the attempt must not end;
+    the message is repeated until the worker replies.
+    """
+
     async def run() -> None:
         play = HandPlayed()
         # Of real time: long enough that a busy machine ends no try by its timeout, which would count as one.
@@ -62,6 +68,12 @@
 
 
 def test_cancellation_on_an_idle_connection_without_a_reply_is_sent_again_on_a_new_one() -> None:
+    """A cancellation is written to an idle connection whose other end may be gone: without a reply it says
+    nothing. It must be sent again on a new connection. One that comes up proves that the worker can be
+    reached, and a process that hangs reads the message before it works on; so the attempt ends there
+    without a reply.
+    """
+
     async def run() -> None:
         play = HandPlayed()
         await start_and_cancel(play)
@@ -81,6 +93,11 @@
 
 
 def test_before_the_202_the_attempt_ends_after_the_first_tries() -> None:
+    """Before the 202 the closed connection cancels a job by itself, and the message is for a 202 that is on
+    its way. A worker that cannot be reached must not keep the request from its retry then: the attempt
+    ends with the immediate sends.
+    """
+
     async def run() -> None:
         play = HandPlayed()
         asked = await start_and_cancel(play, accepted=False)
@@ -92,6 +109,12 @@
 
 
 def test_callback_or_deadline_ends_the_tries() -> None:
+    """The cancellation of an accepted attempt is repeated for as long as the worker cannot be reached.
+
+    Once a callback has ended the attempt, or the client's time is over, nothing depends on it any more. The
+    sends must end then, or each lost worker would cost a task and a descriptor for ever.
+    """
+
     async def run() -> None:
         for word in ("done", ""):
             play = HandPlayed()
@@ -117,7 +140,12 @@
 
 @pytest.mark.parametrize("accepted", [False, True])
 def test_cancelled_attempt_ends_once_its_worker_has_answered_before_and_after_the_202(accepted: bool) -> None:
-    # The 202 may be on its way: what went elsewhere before the worker's answer was a second copy.
+    """A client leaves while its job is on its way to a worker, and the 202 may be on its way back.
+
+    What was sent elsewhere before the worker's reply was a second copy. Before and after the 202, the
+    attempt must end only once the worker has replied to the cancellation.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("b/1"))
         asked = await play.sent("b/1")
@@ -138,6 +166,12 @@
 
 
 def test_attempt_cancelled_before_its_first_byte_was_never_sent() -> None:
+    """A client leaves while the attempt for its request waits for a connection.
+
+    No worker can have the job, so there is nothing to cancel. The attempt must end at once as never sent,
+    and the request is forgotten.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a"))
         await play.ordered("a")
@@ -149,6 +183,12 @@
 
 
 def test_silent_worker_does_not_hold_up_a_cancellation(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A worker accepts a job and the connection for its cancellation, and replies to nothing.
+
+    Waited for without a limit, it would keep the request and a task until the deadline. The send must time
+    out, and the message on a new connection counts as delivered.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.node.settings.connect_within = 1000
         play.node.submit(submission("a"))
@@ -164,7 +204,11 @@
 
 
 def test_cancellation_whose_connection_breaks_is_sent_again_before_the_attempt_ends() -> None:
-    # A rough day in virtual time: the worker had not heard it, and the next dispatch was a second copy.
+    """In a fault scenario in virtual time, a worker had not received its cancellation, and the next attempt
+    was a second copy. A connection that breaks has delivered nothing. The cancellation must be sent again
+    until the worker has replied.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a"))
         (await play.sent("a")).reply(202)
@@ -195,6 +239,11 @@
 
 
 def test_on_sockets_no_retry_before_a_returned_worker_has_been_told(tmp_path: Path) -> None:
+    """A worker process accepts a job, cannot be reached for a while, and comes back with the job.
+
+    Sent to another worker meanwhile, the job would run twice at the same time. On real sockets, the retry
+    must wait until the worker that is back has replied to the cancellation.
+    """
     address, doors = free_address(), [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
     places = ["{}:{}".format(*door.getsockname()) for door in doors]
     grade = {"Name": "view", "Semantics": "free", "SoftLimit": 400.0, "TimeLimit": 9000.0}
@@ -255,12 +304,23 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_zone_lost_and_back_gets_no_second_copies(seed: int) -> None:
+    """Half of the fleet is cut off and comes back with the jobs that it had accepted.
+
+    Where silence ends attempts, their retries run beside them. No rule may be broken in the whole run, and
+    all workers are up at its end.
+    """
     told = in_virtual_time(with_seed(script.load(ZONE_LOST), seed)).told
     assert not any(told["rules"].values()), told["broken"][:3]
     assert min(one["up"] for one in told["over_time"]) == 6 and told["over_time"][-1]["up"] == 12
 
 
 def test_checker_counts_copies_if_silence_ended_attempts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """This proves the check of the scenario above.
+
+    Where each cancellation counts as delivered at once, the lost zone must lead to second copies that the
+    checker counts.
+    """
+
     async def delivered_at_once(*_: object) -> bool:
         return True
 
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -68,6 +68,11 @@
 
 @pytest.mark.parametrize("go", [socket.socket.close, lambda client: client.shutdown(socket.SHUT_WR)])
 def test_what_is_read_once_its_client_has_gone_is_not_begun(go: Callable[[socket.socket], None]) -> None:
+    """A client sends a request and closes its connection before the process has read either.
+
+    The job would run for nobody. What is read after the end was seen must not be begun.
+    """
+
     async def story(server: Listener, clerk: Clerk, address: Any) -> None:
         client = socket.create_connection(address)
         client.sendall(submit())
@@ -101,8 +106,12 @@
 
 @pytest.mark.parametrize("go", [socket.socket.close, reset])
 def test_nothing_is_begun_for_a_client_that_went_before(go: Callable[[socket.socket], None]) -> None:
-    """First and further dispatches alike. The end of a stream is heard some turns after it has come; what
-    ends a wait in the pool takes fewer to the first byte."""
+    """A client leaves while its request waits in the pool, or while its first attempt is running.
+
+    The reader of a stream learns of its end some loop turns after it has come; a list update or a broken
+    attempt takes fewer turns to the first byte of the next attempt. Neither a first attempt nor a retry may
+    begin after the end has come.
+    """
 
     async def run() -> None:
         play, address = Prompt(), free_address()
@@ -135,8 +144,12 @@
 
 
 def test_an_answer_that_is_last_outlives_what_the_client_still_writes() -> None:
-    """A socket that is closed altogether answers what comes with a reset, and the kernel drops what the
-    client has not taken yet."""
+    """A dispatcher that is stopping writes its last response while the client still writes.
+
+    A socket that is closed altogether answers that with a reset, and the kernel drops what the client has
+    not read: the response is lost. Our side must be shut first, and what comes is read and dropped until the
+    client has ended its side.
+    """
 
     async def story(server: Listener, clerk: Clerk, address: Any) -> None:
         result = b"x" * 300_000
@@ -163,6 +176,12 @@
 
 @pytest.mark.parametrize("first", ["bytes", "stop"])
 def test_a_request_that_crosses_a_stop_is_served_or_never_sent_on(first: str) -> None:
+    """A request crosses the stop of the dispatcher on an idle connection.
+
+    Where its bytes come first, it must be served. Where the stop comes first, the connection must end
+    without a reset and nothing is forwarded, so that the client can send the request again elsewhere.
+    """
+
     async def story(server: Listener, clerk: Clerk, address: Any) -> None:
         client = socket.create_connection(address)
         client.setblocking(False)
@@ -190,6 +209,10 @@
 
 
 def test_a_lingering_connection_ends_in_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client that never ends its side would keep a lingering connection open, and a stop waits for that.
+
+    The connection must be closed when its time to linger is over.
+    """
     monkeypatch.setattr("locktide.transport.listener.LINGER_TIMEOUT", 0.05)
 
     async def story(server: Listener, clerk: Clerk, address: Any) -> None:
@@ -210,7 +233,11 @@
 
 
 def test_one_is_evicted_for_each_that_waits_and_none_beside() -> None:
-    """What came to rest while an eviction was under way was closed, too: new ones, their message unread."""
+    """One connection waited for a descriptor, and an eviction takes some turns of the event loop.
+
+    What became idle meanwhile, as each new connection does, was closed too, with its first message unread.
+    Exactly one must be evicted for each that waits.
+    """
 
     async def run() -> None:
         places, closed = DescriptorBudget(2), []
@@ -232,6 +259,12 @@
 
 
 def test_a_message_that_has_come_goes_before_an_eviction() -> None:
+    """All descriptors are in use and a new connection waits.
+
+    The connection that has been idle longest has its next request at the socket already, and would lose it
+    with its close. What has come must be read first, and another connection is closed.
+    """
+
     async def story(server: Listener, clerk: Clerk, address: Any) -> None:
         clients, loop = [socket.create_connection(address) for _ in range(2)], asyncio.get_running_loop()
         await until(lambda: len(server.connections) == 2)
@@ -252,6 +285,12 @@
 
 
 def test_idle_clients_that_fill_the_descriptors_shut_out_neither_callbacks_nor_clients() -> None:
+    """Connections that send nothing fill the descriptors and go on coming.
+
+    Workers could not call back and clients could not send until those time out. Callbacks and requests must
+    get in while there are idle connections to close.
+    """
+
     async def story(server: Listener, clerk: Clerk, address: Any) -> None:
         idle = [socket.create_connection(address) for _ in range(40)]
         for turn in range(30):
@@ -274,6 +313,11 @@
 
 
 def test_a_stop_waits_for_a_connection_that_waits_for_its_place() -> None:
+    """A connection is accepted and waits for a descriptor when the dispatcher is stopped, and nothing else
+    is owed. An exit then would lose the request on it. The stop must count it as work that is not
+    finished.
+    """
+
     async def story(server: Listener, clerk: Clerk, address: Any) -> None:
         first = socket.create_connection(address)
         first.sendall(submit())
@@ -295,7 +339,11 @@
 
 
 def test_nothing_is_accepted_before_the_list_is_had() -> None:
-    """A front sends on to a dispatcher that died and came back; what it sent went out by the old list."""
+    """A dispatcher died and came back, and the proxy in front sent requests to it at once.
+
+    They were sent to workers by the list from before. The listening socket must not open before the list has
+    come, or its time is over.
+    """
 
     async def run() -> None:
         play, stop, asked, go = HandPlayed(), asyncio.Event(), asyncio.Event(), asyncio.Event()
@@ -335,7 +383,11 @@
 def test_the_last_byte_counts_in_the_turn_in_which_the_kernel_takes_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Called off in that very turn a whole message was taken for half a one, and nobody told its worker."""
+    """An attempt was cancelled in the very loop turn in which the kernel took its last byte.
+
+    The message counted as incomplete, and its worker, which had it whole, was not notified. The attempt must
+    count as sent in that turn.
+    """
     made: list[UpstreamConnection] = []
     connect = UpstreamConnection.connect
 
@@ -376,7 +428,11 @@
 
 @pytest.mark.parametrize("status, meets", [(202, 1), (204, 2), (503, 2)])
 def test_a_connection_whose_reply_may_be_told_twice_rests_first(status: int, meets: int) -> None:
-    """The second telling of a 503, some milliseconds late, was read as the next job's, which ran."""
+    """A worker sent its 503 twice, some milliseconds apart.
+
+    The second was read as the response to the next job on that connection, which ran. A connection must rest
+    after a response that ends an attempt; after a 202 it need not.
+    """
     met: list[bool] = []
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -408,6 +464,11 @@
 
 @pytest.mark.parametrize("first", ["callback", "break", "refusal"])
 def test_what_a_worker_has_is_given_up_there_before_its_broken_connection_counts(first: str) -> None:
+    """A worker calls back about a job, or sends half a response, and then its connection breaks or it
+    refuses the job. Neither says that the job has ended: a retry on the strength of it is a second copy.
+    The worker must confirm a cancellation first; then the break counts.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a"))
         shot = await play.sent("a")
@@ -428,7 +489,11 @@
 
 
 def test_a_word_told_again_of_an_earlier_dispatch_does_not_end_the_later_one_there() -> None:
-    """'returned' came a second time, as its 204 was lost: what ran by then was taken for never run."""
+    """The 204 to a callback was lost, so the worker sent 'returned' again, while a later attempt of the same
+    request was there. The repeated callback ended the later one: what ran by then counted as never run. A
+    callback that may be about either attempt must not end the later one before its worker has confirmed a
+    cancellation.
+    """
 
     async def story(play: HandPlayed) -> None:
         play.list("w1", EndpointState.DRAINING)
@@ -457,7 +522,11 @@
 
 
 def test_no_repeat_goes_out_once_it_is_no_longer_dropped() -> None:
-    """The connection came up late; the order was given in time."""
+    """A retry with an idempotency key is commanded in time, and its connection comes up late.
+
+    By then the worker has forgotten the key of the first attempt and would run the job again. Past that time
+    no byte may be sent, and the request fails at once.
+    """
 
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a", grade="record", patience=6_000_000))
@@ -481,6 +550,12 @@
 
 @pytest.mark.parametrize("when", ["ordered", "sent"])
 def test_a_reload_leaves_what_is_open_its_grade_and_its_memory_span(when: str) -> None:
+    """A reload may change the effect, the deduplication window and the timeout of a service class while a
+    request of it is open. Judged by the new class, the request could not be retried, or would be repeated
+    too late. It must keep the class with which it came, whether its attempt was sent before the reload or
+    after it.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a", grade="record", patience=6_000_000))
         first = await (play.ordered if when == "ordered" else play.sent)("a")
@@ -519,7 +594,11 @@
 def test_after_a_call_that_failed_the_next_comes_before_a_change_counts_as_told(
     kind: ListUpdateKind, most: int
 ) -> None:
-    """Four spans of `ask_within` were allowed after it, and used: up to ten seconds by a list from before."""
+    """Where discovery is polled, four polling intervals were allowed after a call that failed, and used.
+
+    The dispatcher went by a list from before for up to ten seconds. After a failure the next call must come
+    within the time after which a change counts as notified.
+    """
     for seed in range(20):
         service = Checked(seed, must_ask=True)
         config = service.dispatcher.config
@@ -536,6 +615,12 @@
 
 
 def test_a_call_that_is_not_heard_is_given_up_in_half_the_time_in_which_a_change_counts_as_told() -> None:
+    """Discovery is down, and a call to it may wait its turn for some seconds.
+
+    Waited for as long as that, a change would count as notified before the next call is made. A call without
+    a response must be given up in half of that time.
+    """
+
     async def story(play: HandPlayed) -> None:
         calls: list[float] = []
 
@@ -571,6 +656,11 @@
 
 @pytest.mark.parametrize("where", ["queue_timeout", "draw"])
 def test_a_fault_in_the_decisions_costs_the_submission_on_which_it_shows_alone(where: str) -> None:
+    """An exception in the scheduler could end its step, and with it the events of every other request in it:
+    their clients would wait until the deadline. Only the request on which the fault shows may end, with
+    502 at once.
+    """
+
     async def story(play: HandPlayed) -> None:
         scheduler: Any = play.node.scheduler
         mechanism = scheduler.load_shedder if where == "queue_timeout" else scheduler.placement
@@ -595,6 +685,10 @@
 
 
 def test_a_fault_at_a_timer_of_the_decisions_costs_its_submission_alone() -> None:
+    """An exception in the scheduler at the timer of an attempt leaves a request that nothing would end
+    before its deadline. The request must get its 502 at once, and the worker a cancellation.
+    """
+
     async def story(play: HandPlayed) -> None:
         scheduler: Any = play.node.scheduler
 
@@ -618,6 +712,11 @@
 
 
 def test_a_round_that_fails_and_a_part_that_fails_cost_no_submission() -> None:
+    """An exception in a placement round, or in an observer such as the cluster's, could stop the handling of
+    events, and requests in the pool would never be placed. The next round must place them, and the fault
+    of the observer is logged only.
+    """
+
     async def story(play: HandPlayed) -> None:
         rounds: Any = play.node.scheduler.rounds
         sound, failed = rounds.place_waiting, [False]
@@ -641,6 +740,11 @@
 
 
 def test_an_order_that_fails_costs_itself_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+    """One command of a step fails with an exception.
+
+    If the step ended there, the commands after it would be lost, and with them the attempts of other
+    requests. Each command must be executed whatever became of the one before it.
+    """
     start_attempt = AttemptRunner.start_attempt
 
     def faulty(runner: AttemptRunner, order: StartAttempt) -> None:
--- a/tests/dispatcher/test_endpoint_follower.py
+++ b/tests/dispatcher/test_endpoint_follower.py
@@ -8,6 +8,12 @@
 
 
 def test_idle_connections_close_when_a_worker_restarts_or_goes() -> None:
+    """A worker restarts under the same address, and its idle connections lead to a process that is gone.
+
+    Jobs on them would break and count against the new process. They must be closed when the list says that
+    the worker has restarted or gone; a drain closes none.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.list("w0", EndpointState.DRAINING)
         assert play.forgotten == []
@@ -19,6 +25,12 @@
 
 
 def test_attempt_sent_before_its_worker_restarted_is_cancelled_and_a_later_one_is_not() -> None:
+    """A zone came back with new worker processes, and what was retried before they had replied to a
+    cancellation was a second copy. Without a cancellation, jobs of the old processes would wait until
+    their deadline, as no callback comes for them. An attempt sent before the restart must be cancelled,
+    once, and end when the new process has replied; one sent after it stays.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a"))
         shot = await play.sent("a")
@@ -34,7 +46,6 @@
             shot.worker, EndpointState.READY, started_at=play.node.clock.now() + 1
         )  # told twice, withdrawn once
         await play.settle()
-        # A zone back cold: what went out anew before the new process had answered was a second copy.
         question = play.asked[-1].build()
         assert play.outcomes() == [] and len(play.asked) == 2
         assert question is not None and (question.method, question.target) == ("DELETE", "/jobs/a")
--- a/tests/dispatcher/test_list_notifications.py
+++ b/tests/dispatcher/test_list_notifications.py
@@ -43,6 +43,12 @@
 
 
 def test_after_an_outage_what_the_agent_has_is_known_before_a_drain_is_old() -> None:
+    """An agent is silent for a while and comes back with a drain.
+
+    A call that met the silence is never answered, and the drain would become known too late. While the agent
+    is silent it must be called some times a second, no more, so that its list is known within 250 ms.
+    """
+
     async def run() -> None:
         agent = Agent()
         listening = await asyncio.start_server(agent.serve, "127.0.0.1", 0)
@@ -67,7 +73,11 @@
 def test_a_watch_that_falls_silent_is_opened_anew_also_where_calls_wait_their_turn(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # It was waited for as long as a first call may take: news counted as told before.
+    """Where calls wait their turn, the first response on a connection may take long.
+
+    A watch that fell silent later was given the same time, and changes counted as notified before it was
+    found out. Only the first call may have that time.
+    """
     monkeypatch.setattr(watch, "WAIT_MS", 50)
     monkeypatch.setattr(watch, "RESPONSE_TIMEOUT", 0.1)
 
@@ -96,6 +106,11 @@
 
 @pytest.mark.parametrize("silent", [False, True])
 def test_a_new_process_serves_once_it_knows_what_its_agent_has(silent: bool) -> None:
+    """The cached list of a new process may be old: workers in it may have begun to drain, and what the agent
+    has counts as notified. The process must be ready only once it has the agent's list. A silent agent
+    does not hold it up: the cached list is all there is then.
+    """
+
     async def run() -> None:
         agent, player, stop = Agent(), HandPlayed(), asyncio.Event()
         agent.changed, agent.silent, node = ("w0", "w1"), silent, player.node
@@ -117,7 +132,11 @@
 
 
 def test_a_stop_answers_what_comes_on_a_connection_that_was_just_opened(tmp_path: Path) -> None:
-    # The stop had ended by then, and closed it with no word.
+    """A client opened a connection after SIGTERM and sent its request some time later.
+
+    The stop had ended by then and closed the connection without a response. The stop must wait for a
+    connection that was just opened, and its request gets one.
+    """
     process, address, worker = begin(tmp_path)
 
     async def run() -> None:
--- a/tests/dispatcher/test_many_dispatchers.py
+++ b/tests/dispatcher/test_many_dispatchers.py
@@ -89,7 +89,10 @@
 
 
 def test_what_only_a_lost_zone_may_have_waits_for_it_and_spins_on_nothing() -> None:
-    """Bound to a cell in a lost zone, submissions used up three dispatches in 4 ms and were terminated."""
+    """Requests confined to a cell of a lost zone used up their three attempts in 4 ms and failed.
+
+    They must wait for the zone, with a few attempts a second at each worker, and be done once it is back.
+    """
     service = Checked(fleet=40)
     config = service.dispatcher.config
     config.current = replace(config.current, retry=replace(config.current.retry, counts_unsent=False))
@@ -115,6 +118,12 @@
 
 
 def test_on_sockets_only_what_was_sent_counts_among_the_dispatches() -> None:
+    """On sockets, a connection that does not come up fails within milliseconds.
+
+    If such attempts counted towards the most attempts of a request, three unreachable workers would end it
+    while it could still be sent. Only an attempt whose last byte was sent may count.
+    """
+
     async def run() -> None:
         player = HandPlayed()
         player.node.submit(submission_of("a"))
@@ -162,7 +171,10 @@
 
 
 def test_where_calls_are_work_the_decisions_say_when_and_only_what_was_missed_is_asked_for() -> None:
-    """A call that failed was made again each tenth of a second, by all dispatchers, for the whole list."""
+    """A call to discovery that failed was made again each tenth of a second, by all dispatchers, for the
+    whole list. Where calls are work for one service, the scheduler must say when the next one is made,
+    and it asks only for what changed since the version that is held.
+    """
 
     async def run() -> None:
         player = told_to_ask()
@@ -195,6 +207,12 @@
 
 
 def test_a_remembered_version_that_this_discovery_has_not_reached_is_given_up() -> None:
+    """A dispatcher starts with a cached list of version 41, and discovery counts from 3.
+
+    Asked for changes since 41, it has none for a long time. A lower version must make the watch fetch the
+    whole list and go on from its version.
+    """
+
     async def run() -> None:
         heard: list[str] = []
         sheets: list[discovery.DiscoveryUpdate] = []
@@ -216,6 +234,12 @@
 
 
 def test_an_answer_before_its_time_that_brings_nothing_makes_no_storm() -> None:
+    """An agent responds at once, with nothing, where it should hold the call for a second.
+
+    The watch would call it in a busy loop. A call that brings nothing before its time must be followed by a
+    delay.
+    """
+
     async def run() -> None:
         heard: list[str] = []
         listening = await agent([sheet(3, True)] + [sheet(3, False)] * 1000, heard)
@@ -232,6 +256,11 @@
 def test_discovery_that_never_answers_is_called_when_the_decisions_say_and_holds_nothing_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Discovery never responds.
+
+    Requests must be sent by the cached list meanwhile. Each call is given up and reported to the scheduler,
+    which says when the next one is made.
+    """
     monkeypatch.setattr(watch_module, "WAIT_MS", 0)
 
     async def run() -> None:
@@ -283,6 +312,12 @@
 
 
 def test_a_reload_asks_the_new_address_for_the_whole_list_at_once_and_after_a_failure_when_told() -> None:
+    """A reload names a new discovery address, whose versions are its own.
+
+    Asked for changes since the old version, it could leave the dispatcher with the old list. The whole list
+    must be fetched at once, and after a failure again when the scheduler says so.
+    """
+
     async def run() -> None:
         player = told_to_ask()
         heard: list[str] = []
@@ -305,6 +340,12 @@
 
 
 def test_a_worker_replaced_under_the_same_address_gets_nothing_meant_for_the_old_one() -> None:
+    """A worker is replaced by another process at the same address.
+
+    Idle connections of the old worker lead to the new one, which would get jobs under a wrong name. They
+    must be closed, and requests are sent to the new worker by its own name.
+    """
+
     async def run() -> None:
         player = HandPlayed()
         here = player.node.endpoints.addresses["w0"]
@@ -319,6 +360,11 @@
 
 
 def test_a_stop_while_discovery_says_nothing_finishes_what_was_taken(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The dispatcher is stopped while a call to discovery has no response.
+
+    It could exit with a request open, or wait for the call for ever. The open request must get its response
+    first; then the process ends, whatever discovery does.
+    """
     monkeypatch.setattr("locktide.dispatcher.shutdown.ACCEPT_AFTER_STOP", 0.02)
 
     async def run() -> None:
--- a/tests/dispatcher/test_process.py
+++ b/tests/dispatcher/test_process.py
@@ -16,6 +16,11 @@
 
 
 def test_process_serves_and_at_sigterm_finishes_and_exits_with_0(tmp_path: Path) -> None:
+    """A process is sent SIGTERM with requests open.
+
+    It must accept connections for a while longer, give each request its response, end idle connections, and
+    exit with 0.
+    """
     process, address, listening = begin(tmp_path)
     try:
         with socket.create_connection(address) as asking:
@@ -47,6 +52,11 @@
 
 
 def test_sighup_reads_discovery_anew_and_a_faulty_file_changes_nothing(tmp_path: Path) -> None:
+    """The settings file changes while the process serves.
+
+    At SIGHUP it must follow the list at the new address, which has versions of its own. A faulty file must
+    change nothing and be named in the log.
+    """
     process, _, worker = begin(tmp_path, discovery="127.0.0.1:9")  # the variable names it, too
     path, log = tmp_path / "start.json", process.stderr
     whole = json.loads(path.read_text())
@@ -81,6 +91,10 @@
 
 
 def test_faulty_settings_at_start_are_one_line_and_exit_2() -> None:
+    """A traceback hides the key of a faulty setting from whoever starts the process.
+
+    The fault must be one line that names the key, and the exit code 2.
+    """
     run = subprocess.run(
         [sys.executable, "-m", "locktide"],
         capture_output=True,
--- a/tests/dispatcher/test_requests.py
+++ b/tests/dispatcher/test_requests.py
@@ -25,6 +25,12 @@
 
 
 def test_at_the_deadline_attempts_time_out_and_the_client_has_its_response() -> None:
+    """A worker accepted a job and was silent after that.
+
+    At the deadline the client must have a response that says the request failed, the attempt has timed out,
+    and the worker gets a cancellation, as nobody waits for the job any more.
+    """
+
     async def story(play: HandPlayed) -> None:
         answer = play.node.submit(submission("a", grade="cash", patience=240_000))
         assert answer is not None
@@ -41,6 +47,11 @@
 
 @pytest.mark.parametrize("patience, kept", [(6_000_000, 80_000), (400_000, 20_000)])
 def test_deadline_leaves_the_client_time_for_transit(patience: int, kept: int) -> None:
+    """A response that is written at the moment at which the client gives up comes too late to be read.
+
+    The deadline must leave 80 ms for its way, and a twentieth of the timeout where that is less.
+    """
+
     async def story(play: HandPlayed) -> None:
         before = play.node.clock.now()
         play.node.submit(submission("a", patience=patience))
@@ -51,6 +62,11 @@
 
 
 def test_during_shutdown_new_requests_end_before_the_shutdown_deadline() -> None:
+    """Clients go on sending for a while after SIGTERM, with timeouts longer than the process has left: a
+    kill would leave them without a response. A request that comes in a shutdown must end before the
+    shutdown does; those from before keep their deadline.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.node.submit(submission("a", patience=9_000_000))
         play.node.shutdown.limit_new_requests(play.node.loop.time() + 2.0)
@@ -63,6 +79,12 @@
 
 
 def test_during_shutdown_background_jobs_keep_their_deadline() -> None:
+    """Durable jobs continue in the next process.
+
+    Cut to the deadline of a shutdown, they would fail there without need. They must keep theirs, and the
+    shutdown does not wait for them.
+    """
+
     async def story(play: HandPlayed) -> None:
         play.node.shutdown.limit_new_requests(play.node.loop.time() + 0.5)
         kept = replace(submission("kept"), background=True)
@@ -78,6 +100,12 @@
 
 
 def test_request_with_an_id_that_is_open_or_was_answered_is_not_taken() -> None:
+    """A client sends a second request under the id of one that is open or had its response lately.
+
+    The worker may still know the id, and would take one job for the other. Such a request must not be
+    accepted.
+    """
+
     async def story(play: HandPlayed) -> None:
         assert play.node.submit(submission("a")) is not None
         assert play.node.submit(submission("a")) is None
--- a/tests/dispatcher/test_scheduler_bridge.py
+++ b/tests/dispatcher/test_scheduler_bridge.py
@@ -14,6 +14,12 @@
 
 
 def test_cached_endpoint_list_is_the_first_event_and_the_clock_is_unix_time() -> None:
+    """The scheduler judges warm-up by the start times in the list, which are Unix times.
+
+    Its clock must be the same, and the cached list the first event, so that no request is placed before it
+    is known.
+    """
+
     async def story(play: HandPlayed) -> None:
         assert abs(play.node.clock.now() - time.time_ns() // 1000) < 1_000_000
         await play.settle()
@@ -37,6 +43,12 @@
 
 
 def test_request_gets_504_if_the_scheduler_fails() -> None:
+    """The scheduler raises an exception in each step and gives no command.
+
+    Clients would wait without any response. At the deadline the dispatcher must respond 504 by itself, and
+    report that the client is gone, so that nothing more is sent for it.
+    """
+
     async def story(play: HandPlayed) -> None:
         told: list[Event] = []
 
--- a/tests/transport/test_descriptor_budget.py
+++ b/tests/transport/test_descriptor_budget.py
@@ -9,6 +9,12 @@
 
 
 def test_at_the_limit_the_connection_idle_longest_is_evicted() -> None:
+    """All descriptors are in use and a new connection waits although idle ones are there.
+
+    The one that has been idle longest must be closed for it. One that gives up its wait must not take the
+    descriptor of the next.
+    """
+
     async def run() -> None:
         places = DescriptorBudget(2)
         closed: list[str] = []
--- a/tests/transport/test_endpoint_watch.py
+++ b/tests/transport/test_endpoint_watch.py
@@ -23,6 +23,11 @@
 
 
 def test_silent_discovery_is_called_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An agent falls silent in the middle of a call.
+
+    It must be called again, without a wait, from the version that is held; and what brings nothing then is
+    passed on, as the list is known to be current again.
+    """
     monkeypatch.setattr(watch_module, "WAIT_MS", 20)
     monkeypatch.setattr(watch_module, "RESPONSE_TIMEOUT", 0.1)
     targets: list[str] = []
@@ -62,6 +67,10 @@
 def test_malformed_lists_change_nothing_and_the_next_good_one_is_applied(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """An agent sends half a response, broken JSON, a list of another shape, an HTTP error and nothing at all.
+
+    None of these may end the watch or change the list, and the next good list is applied.
+    """
     monkeypatch.setattr(watch_module, "RETRY_DELAY", 0.002)
     good = http_response(list_body(list_entry("w5")))
     answers = [
@@ -103,6 +112,11 @@
 
 
 def test_two_reloads_during_a_call_leave_one_watch_and_no_connection() -> None:
+    """Two reloads come while a call to discovery is under way.
+
+    Each could leave a watch and a connection behind. One watch must be left, at the new address, and the old
+    connection is closed.
+    """
     ended: list[bytes] = []
     calls: list[Callable[[], None]] = []
 
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -24,6 +24,10 @@
 
 
 def test_closed_client_is_disconnected_and_half_a_message_is_a_408(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client that closes its connection would leave its request running, and one that sends half a message
+    would keep its connection for ever. The first must be reported to the request handler, and the second
+    gets a 408 in its time.
+    """
     monkeypatch.setattr("locktide.transport.client_connection.MESSAGE_TIMEOUT", 0.02)
 
     async def run() -> None:
@@ -58,6 +62,11 @@
 def test_silent_or_dripping_newcomer_is_closed_and_a_proven_connection_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Connections that send nothing, or a byte now and then, would keep their descriptors.
+
+    Both must be closed in the time of one message. A worker that has called back may be idle for as long as
+    it likes.
+    """
     monkeypatch.setattr("locktide.transport.client_connection.MESSAGE_TIMEOUT", 0.1)
 
     async def run() -> None:
@@ -83,6 +92,12 @@
 
 
 def test_flood_of_newcomers_displaces_only_newcomers() -> None:
+    """Thirty connections that send nothing come at once.
+
+    Closed by age alone, the idle connection of a worker would be the first to go. Newcomers must be closed
+    for newcomers first.
+    """
+
     async def run() -> None:
         listener, address = await start_listener(Clerk(), places=8)
         reader, writer = await open_proven(address)
@@ -99,6 +114,12 @@
 
 
 def test_early_response_outlives_a_large_body_and_nothing_of_it_is_stored() -> None:
+    """A client announces 60 MB and gets its 413 at once.
+
+    A close then would meet what still comes with a reset and lose the response; kept, the bytes would fill
+    the memory. The rest must be read and dropped until the client has the response.
+    """
+
     async def run() -> None:
         listener, address = await start_listener(Clerk())
         reader, writer = await asyncio.open_connection(*address)
@@ -117,6 +138,10 @@
 
 
 def test_incomplete_messages_beyond_the_memory_limit_are_rejected() -> None:
+    """Clients send large messages but for their last byte, and the process would keep them all until its
+    memory is used up. The message that exceeds the limit must be rejected with 500.
+    """
+
     async def run() -> None:
         listener, address = await start_listener(Clerk())
         found = []
@@ -136,6 +161,12 @@
 
 
 def test_bytes_before_the_response_end_the_request_with_400() -> None:
+    """A client states too short a length for its body, so that the rest of it comes as a second message.
+
+    The job would run with a part of its body. Bytes before the response must end the request with 400, and
+    its client counts as gone.
+    """
+
     async def run() -> None:
         handler = Clerk()
         listener, address = await start_listener(handler)
@@ -151,6 +182,10 @@
 
 
 def test_waiting_clients_leave_room_for_callbacks() -> None:
+    """If clients that wait for responses had every descriptor, the callbacks that end their waits could not
+    get in. One in eight must stay free of waiting clients; a request beyond that fails with 500.
+    """
+
     async def run() -> None:
         handler = Clerk()
         listener, address = await start_listener(handler, places=8)
@@ -175,6 +210,11 @@
 
 
 def test_wind_down_ends_idle_connections_and_not_those_just_opened() -> None:
+    """A connection that was just opened may have its first request on its way, and no client sends that
+    again, as it does on a connection that was reused: a stop that closes it loses the request. Only idle
+    connections of proven clients may be ended; on others the first message is served.
+    """
+
     async def run() -> None:
         handler = Clerk()
         listener = Listener(DescriptorBudget(20), {"view": 3_000_000}, set(), 1 << 20, handler, Log("n0"))
@@ -198,7 +238,11 @@
 
 
 def test_wind_down_reads_what_has_come_before_it_ends_idle_connections() -> None:
-    """Bytes that were at the socket before the call to stop are a message that was handed in."""
+    """On loopback, three or four requests were lost at once some 100 ms after SIGTERM.
+
+    Their bytes were at the socket before the stop, but the call to stop takes fewer turns of the loop than
+    bytes do. What has come must be read and served first.
+    """
 
     async def run() -> None:
         handler, stop = Clerk(), asyncio.Event()
--- a/tests/transport/test_log.py
+++ b/tests/transport/test_log.py
@@ -8,6 +8,10 @@
 
 
 def test_lines_past_the_rate_limit_are_dropped_and_counted(capsys: pytest.CaptureFixture[str]) -> None:
+    """A client that sends faulty requests as fast as it can could fill the disk with log lines.
+
+    Lines past the rate must be dropped, and the next line says how many.
+    """
     log = Log("n0")
     for number in range(3 * BURST):
         log.emit(f"line {number}")
--- a/tests/transport/test_upstream_pool.py
+++ b/tests/transport/test_upstream_pool.py
@@ -31,6 +31,11 @@
 
 
 def test_break_after_the_last_byte_is_a_reset() -> None:
+    """A worker closes its connection after it has the whole job.
+
+    Taken for never sent, a job that must run at most once would be retried. It must count as a reset.
+    """
+
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"x" * 100)
         writer.transport.abort()
@@ -49,6 +54,11 @@
 def test_break_of_a_reused_connection_is_closed_or_an_invalid_response(
     second_reply: bytes, outcome: str
 ) -> None:
+    """A worker closes an idle connection while the next job is on its way: that is no fault of the worker
+    and must not count against it. With half a response the worker lives and may have the job, which is an
+    invalid response.
+    """
+
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for reply in (TAKEN % 0, second_reply):
             await reader.readuntil(b"x" * 100)
@@ -63,6 +73,12 @@
 
 
 def test_connection_that_does_not_come_up_is_no_connection_and_gives_back_its_place() -> None:
+    """Connections to a worker that does not listen could keep their descriptors until none is left.
+
+    Each must give its descriptor back, and the attempt has no connection. Where no descriptor comes free in
+    time, the attempt was never sent and no worker is at fault.
+    """
+
     async def run() -> None:
         with socket.socket() as taken:  # bound but not listening: nothing comes up
             taken.bind(("127.0.0.1", 0))
@@ -77,6 +93,12 @@
 
 
 def test_break_before_the_last_byte_is_no_connection() -> None:
+    """A worker closes its connection in the middle of a large job.
+
+    Nothing can have run: taken for a reset, an at-most-once request would fail without need. Before the last
+    byte it must count as no connection.
+    """
+
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await asyncio.sleep(0.2)
@@ -91,6 +113,10 @@
 
 
 def test_connection_is_reused_and_closed_at_half_the_idle_time() -> None:
+    """A worker closes idle connections after its stated time, and a job written at that moment is lost.
+
+    A connection must be reused while it is young, and closed here after half of that time.
+    """
     accepted: list[bool] = []
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -116,6 +142,11 @@
 
 
 def test_connection_closed_by_the_worker_is_not_reused() -> None:
+    """A worker closes a connection after its response, and the next job written to it would break.
+
+    A connection whose end has come must not be reused.
+    """
+
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"x" * 100)
         writer.write(TAKEN % 0)
@@ -139,7 +170,11 @@
 
 
 def test_response_sent_twice_is_not_taken_for_the_response_to_the_next_request() -> None:
-    """The second would have been read as the next job's: a 503 there, and the job goes out a second time."""
+    """A worker sends a second response on an idle connection.
+
+    It would be read as the response to the next job: a 503 there, and the job is sent a second time while it
+    runs. A connection on which bytes came while it was idle must be closed.
+    """
     accepted = 0
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
