--- a/locktide/cluster/bootstrap.py
+++ b/locktide/cluster/bootstrap.py
@@ -1,4 +1,4 @@
-"""Starts the cluster member of a dispatcher from an installation's settings."""
+"""Starts the cluster member of a dispatcher by the file of an installation."""
 
 from __future__ import annotations
 
@@ -16,10 +16,14 @@
 from locktide.config.address import parse_address
 from locktide.config.installation.document import Installation
 
+#: Size of the seed of a member's random choices, in bits.
 RANDOM_SEED_BITS = 60
+#: Thousandths in one of a resource or a weight, as the fairness ledger counts them.
 THOUSANDTHS = 1000
-# Seconds added to the longest time limit of a job: for what is on its way.
+#: Time added to the longest timeout of a job, in seconds, for what is on its way.
 LEDGER_MARGIN = 1.0
+MICROSECONDS_PER_SECOND = 1e6
+NANOSECONDS_PER_MICROSECOND = 1000
 
 
 def cluster_config(installation: Installation) -> ClusterConfig:
@@ -37,12 +41,12 @@
     seeds = [parse_address("accord.seeds", seed) for seed in cluster.seeds]
     own_address = parse_address("accord.reach", cluster.reachable_address)
     return ClusterConfig(
-        member_id=(installation.serve.name, time.time_ns() // 1000),
+        member_id=(installation.serve.name, time.time_ns() // NANOSECONDS_PER_MICROSECOND),
         address=own_address,
         acceptors=acceptors,
         seeds=[seed for seed in [*acceptors.values(), *seeds] if seed != own_address],
         quotas=[
-            QuotaSpec(tenant.name, tenant.rate, tenant.rate * cluster.burst, True)
+            QuotaSpec(name=tenant.name, rate=tenant.rate, burst=tenant.rate * cluster.burst, lendable=True)
             for tenant in installation.tenants
         ],
         reserved_fraction=cluster.reserved_fraction,
@@ -56,7 +60,7 @@
 def fairness_config(installation: Installation) -> FairnessConfig:
     """Return the configuration of the fairness ledger; amounts and weights are in thousandths.
 
-    A job may run until its time limit, and its cancellation is tried no longer.
+    A job may run until its timeout, and no attempt to cancel it is made after that.
     """
     resources = installation.cluster.resources
     service_classes = installation.service_classes
@@ -74,7 +78,7 @@
         weights,
         needs,
         [round(THOUSANDTHS * resource.worker_capacity) for resource in resources],
-        round(max_job_time * 1e6),
+        round(max_job_time * MICROSECONDS_PER_SECOND),
     )
 
 
--- a/locktide/cluster/borrowing/lender.py
+++ b/locktide/cluster/borrowing/lender.py
@@ -4,45 +4,62 @@
 
 from dataclasses import dataclass
 
-WHOLE = 1_000_000
-# A quota without demand for so long (microseconds) is idle; after its return it lends nothing for as long.
-# Three seconds: of a tenant with two requests a second one gap in four hundred is longer.
+from locktide.cluster.quota.allocation import WHOLE
+
+#: Time without demand after which a quota is idle, and for which it lends nothing after its return, in
+#: microseconds. Of a tenant with two requests a second one gap in four hundred is longer.
 IDLE_AFTER = 3_000_000
-# What a lender uses counts at its peak, which halves in two seconds, and twice: requests come in bunches.
+#: Time in which the peak of what a lender uses halves, in microseconds.
 PEAK_HALF_LIFE = 2_000_000
+#: How many times its peak a lender retains: requests come in bunches.
 HEADROOM = 2
 
 
 @dataclass(slots=True)
 class Lender:
-    """Rates are in millionths of a token a second, times in microseconds of the leader's clock."""
+    """The state of one quota; times are microseconds of the leader's clock.
+
+    Attributes:
+        rate: the rate of the whole quota, in millionths of a token a second.
+        divisible: how much of the whole may be divided at all, in millionths.
+        last_demand_at: when there was demand for it last.
+        used_rate: the decaying peak of what is demanded of it, in millionths of a token a second.
+        used_rate_at: when that peak was last updated.
+        reclaimed_at: when its loans were last reclaimed.
+        lends_again_at: until when it lends nothing after that.
+        retained: how much of the whole is not planned to be lent, in millionths.
+    """
 
-    rate: int  # of its whole
-    divisible: int  # millionths of its whole that may be divided at all
+    rate: int
+    divisible: int
     last_demand_at: int
     used_rate: int = 0
     used_rate_at: int = 0
     reclaimed_at: int = 0
     lends_again_at: int = 0
-    retained: int = WHOLE  # of its whole, beside what was planned to be lent
+    retained: int = WHOLE
 
     def record_rate(self, rate: int, now: int) -> None:
         """Take in the rate that is demanded of it now."""
-        decay = min(PEAK_HALF_LIFE, now - self.used_rate_at)
-        self.used_rate = max(rate, self.used_rate - self.used_rate * decay // (2 * PEAK_HALF_LIFE))
+        elapsed = min(PEAK_HALF_LIFE, now - self.used_rate_at)
+        decayed_peak = self.used_rate - self.used_rate * elapsed // (2 * PEAK_HALF_LIFE)
+        self.used_rate = max(rate, decayed_peak)
         self.used_rate_at = now
 
     def reclaim(self, now: int) -> None:
         """Lend nothing for a while."""
-        self.reclaimed_at, self.lends_again_at, self.retained = now, now + IDLE_AFTER, WHOLE
+        self.reclaimed_at = now
+        self.lends_again_at = now + IDLE_AFTER
+        self.retained = WHOLE
 
     def is_reclaiming(self, now: int) -> bool:
-        """Whether it was reclaimed so lately that it lends nothing."""
+        """Return whether it was reclaimed so lately that it lends nothing."""
         return now < self.lends_again_at
 
     def lendable_share(self, lent_fraction: int, now: int) -> int:
-        """Return the millionths of its whole that may be lent; `lent_fraction` of what is unused."""
+        """Return how much of its whole may be lent: `lent_fraction` of what is unused, all in millionths."""
         if self.is_reclaiming(now) or not self.rate:
             return 0
-        unused = self.divisible - HEADROOM * self.used_rate * WHOLE // self.rate
+        needed = HEADROOM * self.used_rate * WHOLE // self.rate
+        unused = self.divisible - needed
         return max(0, unused * lent_fraction // WHOLE)
--- a/locktide/cluster/borrowing/loan_allocator.py
+++ b/locktide/cluster/borrowing/loan_allocator.py
@@ -7,38 +7,57 @@
 
 from __future__ import annotations
 
-from locktide.cluster.borrowing.lender import IDLE_AFTER, WHOLE, Lender
+from locktide.cluster.borrowing.lender import IDLE_AFTER, Lender
 from locktide.cluster.borrowing.matching import LoanRates, Rates, fill_evenly, match_loans
 from locktide.cluster.messages import QuotaIndex
+from locktide.cluster.quota.allocation import WHOLE
 from locktide.cluster.quota.lease_timing import REQUEST_INTERVAL
+from locktide.cluster.quota.token_bucket import MICROSECONDS_PER_SECOND, UNITS_PER_TOKEN
 from locktide.cluster.quota.types import Loans, QuotaDemand, QuotaShares
 
-# Loans under a fiftieth of a lender's whole are not worth their leases.
+#: Least part of its whole that a lender lends, in millionths: less is not worth its leases.
 MIN_LOAN = 20_000
-# A quota is short whose demand exceeds its whole by more than a twentieth: 21 to 20.
+#: Ratio of demand to whole above which a quota is short, as numerator and denominator.
 SHORT_RATIO = (21, 20)
+#: Of a steady demand a report has what was demanded in so many request intervals: the count of the last one,
+#: and half of the former count, which has the same in it.
+REPORTED_INTERVALS = 2
 
 
 def rate_of_demand(demand: int) -> int:
-    """Return millionths of a token a second for a reported demand, which halves with each request.
+    """Return the rate of a steady demand from its report, in millionths of a token a second.
 
-    Of a steady demand it holds the last two intervals' worth when it is reported.
+    `demand` is in tokens, and halved with each request.
     """
-    return demand * 1_000_000 * 1_000_000 // (2 * REQUEST_INTERVAL)
+    reported_time = REPORTED_INTERVALS * REQUEST_INTERVAL
+    return demand * UNITS_PER_TOKEN * MICROSECONDS_PER_SECOND // reported_time
 
 
 class LoanAllocator:
-    """Keeps the planned loans; the allocator grants of them what fits."""
+    """Keeps the planned loans; the allocator grants of them what fits.
+
+    Times are microseconds of the leader's clock.
+
+    Attributes:
+        lent_fraction: how much of what is unused may be lent, in millionths.
+        lenders: the state of each quota that may be lent.
+        planned_loans: the loans of the last plan, in millionths of the lender's whole.
+    """
 
     def __init__(self, rates: Rates, divisible: QuotaShares, lent_fraction: int, now: int) -> None:
         """Start with all lenders in full use.
 
-        `rates` of the quotas that may be lent, in millionths of a token a second; `lent_fraction`: how many
-        millionths of what is unused may be lent.
+        Args:
+            rates: the rates of the quotas that may be lent, in millionths of a token a second.
+            divisible: how much of each quota is divided, in millionths of its whole.
+            lent_fraction: how much of what is unused may be lent, in millionths.
+            now: the time.
         """
         self.lent_fraction = lent_fraction
         self.lenders = {
-            quota: Lender(rate, divisible[quota], now, used_rate=rate, used_rate_at=now)
+            quota: Lender(
+                rate=rate, divisible=divisible[quota], last_demand_at=now, used_rate=rate, used_rate_at=now
+            )
             for quota, rate in rates.items()
         }
         self.planned_loans: Loans = {}
@@ -61,7 +80,7 @@
         return bool(lent)
 
     def is_reclaiming(self, quota: QuotaIndex, now: int) -> bool:
-        """Whether the quota was reclaimed so lately that it lends nothing."""
+        """Return whether the quota was reclaimed so lately that it lends nothing."""
         lender = self.lenders.get(quota)
         return lender is not None and lender.is_reclaiming(now)
 
@@ -74,8 +93,14 @@
     ) -> list[QuotaIndex]:
         """Plan the loans anew from the demand of all members.
 
-        `outstanding` is what may be lent at this moment, `borrowing_order` says who borrows first. Returns
-        the quotas whose loans have to be revoked.
+        Args:
+            demand: the reported demand by quota, in tokens.
+            borrowing_order: quotas that borrow first, in this order.
+            outstanding: what may be lent at this moment.
+            now: the time.
+
+        Returns:
+            The quotas whose loans have to be revoked.
         """
         demanded = {quota: rate_of_demand(demand.get(quota, 0)) for quota in self.lenders}
         reclaimed = self._reclaim_exceeded(demanded, now)
@@ -83,12 +108,9 @@
         borrowing = {borrower for _, borrower in outstanding}
         shortfalls = self._shortfalls(demanded, lending, borrowing_order)
         lendable = self._lendable_rates(borrowing | shortfalls.keys(), now)
-        previous = self._planned_rates()
-        self.planned_loans = {}
         given = fill_evenly(shortfalls, sum(lendable.values()))
-        for key, rate in match_loans(given, lendable, previous).items():
-            if share := rate * WHOLE // self.lenders[key.lender].rate:
-                self.planned_loans[key] = share
+        loan_rates = match_loans(given, lendable, self._planned_rates())
+        self.planned_loans = self._loans_of_rates(loan_rates)
         for quota, lender in self.lenders.items():
             lender.retained = WHOLE - self._lent_share(quota)
         return reclaimed
@@ -129,6 +151,11 @@
             if share >= MIN_LOAN
         }
 
+    def _loans_of_rates(self, rates: LoanRates) -> Loans:
+        """Return the loans in millionths of their lenders; those of less than a millionth are left out."""
+        shares = {key: rate * WHOLE // self.lenders[key.lender].rate for key, rate in rates.items()}
+        return {key: share for key, share in shares.items() if share}
+
     def _planned_rates(self) -> LoanRates:
         return {
             key: share * self.lenders[key.lender].rate // WHOLE for key, share in self.planned_loans.items()
--- a/locktide/cluster/borrowing/matching.py
+++ b/locktide/cluster/borrowing/matching.py
@@ -5,13 +5,16 @@
 from locktide.cluster.messages import QuotaIndex
 from locktide.cluster.quota.types import LoanKey
 
-Rates = dict[QuotaIndex, int]  # millionths of a token a second
+#: Rates by quota, in millionths of a token a second.
+Rates = dict[QuotaIndex, int]
+#: Rates that are lent, in the same unit.
 LoanRates = dict[LoanKey, int]
 
 
 def fill_evenly(shortfalls: Rates, available: int) -> Rates:
-    """Give equal amounts to all, each up to its shortfall; what cannot be divided goes by their order."""
-    given, unfilled = dict.fromkeys(shortfalls, 0), list(shortfalls)
+    """Give equal amounts to each, up to its shortfall; what cannot be divided is given by their order."""
+    given = dict.fromkeys(shortfalls, 0)
+    unfilled = list(shortfalls)
     while unfilled and available:
         even = max(1, available // len(unfilled))
         for borrower in list(unfilled):
@@ -26,11 +29,12 @@
 def match_loans(given: Rates, lendable: Rates, previous: LoanRates) -> LoanRates:
     """Return from which lender each borrower's amount comes.
 
-    As before, as far as that goes, since each move of a loan costs the time until the former one has ended;
-    then from whichever lender has some left.
+    It is the same lender as before, as far as it has enough, since each move of a loan costs the time until
+    the former one has ended; then any lender that has some left.
     """
     loans: LoanRates = {}
-    needed, left = dict(given), dict(lendable)
+    needed = dict(given)
+    left = dict(lendable)
 
     def lend(lender: QuotaIndex, borrower: QuotaIndex, limit: int) -> None:
         amount = min(needed.get(borrower, 0), left.get(lender, 0), limit)
--- a/locktide/cluster/config.py
+++ b/locktide/cluster/config.py
@@ -42,7 +42,12 @@
 
 @dataclass(slots=True)
 class MemberUpdate:
-    """What the last call has changed: whether the quotas in force did, and events of the membership."""
+    """What the last call has changed.
+
+    Attributes:
+        quotas_changed: whether the quotas in force have, or which tenants are over their fair shares.
+        events: changes of the membership.
+    """
 
     quotas_changed: bool = False
     events: list[MembershipEvent] = field(default_factory=list)
--- a/locktide/cluster/dispatcher_link.py
+++ b/locktide/cluster/dispatcher_link.py
@@ -10,9 +10,10 @@
 from locktide.cluster.quota.allocation import WHOLE
 from locktide.scheduler.events import ConfigReloaded, QuotaSharesUpdated, QuotaStage, RequestArrived
 
-# Microseconds for which the scheduler believes that a tenant is over its share: it is told anew with each
-# change, and where no update comes for so long no tenant is.
+#: For how long the scheduler takes a tenant to be over its share, in microseconds: it is notified with each
+#: change, and where no update comes for so long no tenant is.
 OVER_SHARE_VALIDITY = 5_000_000
+#: Later than any time of any clock, in microseconds.
 FOREVER = 1 << 62
 
 
@@ -47,7 +48,15 @@
 
 
 class DispatcherLink:
-    """Counts a dispatcher's requests as demand, and tells its scheduler which quota shares are in force."""
+    """Counts a dispatcher's requests as demand, and notifies its scheduler of the quota shares in force.
+
+    Attributes:
+        loop: the event loop of the dispatcher.
+        event_source: the dispatcher.
+        member: the cluster member.
+        host: what runs the member.
+        quota_names: the tenants that have a quota.
+    """
 
     def __init__(self, event_source: EventSource, member: ClusterMember, host: MemberHost) -> None:
         self.loop = asyncio.get_running_loop()
@@ -71,7 +80,7 @@
         into the ledger.
         """
         if type(event) is ConfigReloaded:
-            # The scheduler has begun with new shares, and has to be told those in force once more.
+            # The scheduler has begun with new shares, and has to be notified of those in force once more.
             self.loop.call_soon(self.emit_quota_shares)
             return
         if self.member.ledger is not None:
@@ -80,30 +89,36 @@
             previous_wakeup = self.member.next_wakeup
             self.member.spend(event.tenant, self.host.now())
             if self.member.next_wakeup < previous_wakeup:
-                self.host.schedule_wakeup()  # demand after a pause is told to the leader at once
+                self.host.schedule_wakeup()  # demand after a pause is reported to the leader at once
 
     def emit_quota_shares(self) -> None:
-        """Tell the scheduler the shares in force, and on its clock until when."""
-        quota, own_now, their_now = self.member.local_quota, self.host.now(), self.event_source.clock.now()
+        """Notify the scheduler of the shares in force, and until when by its own clock."""
+        quota = self.member.local_quota
+        own_now = self.host.now()
+        their_now = self.event_source.clock.now()
         # The two clocks differ by a constant.
         until = their_now + max(0, quota.shares_until - own_now)
-        shares = {name: part / WHOLE for name, part in quota.shares.items()}
+        shares = {name: share / WHOLE for name, share in quota.shares.items()}
         minimums = dict.fromkeys(shares, quota.guaranteed_minimum / WHOLE)
         stages = [QuotaStage(until, shares), QuotaStage(FOREVER, minimums)]
         if quota.loans:
             loans_until = min(until, their_now + max(0, quota.loans_until - own_now))
             stages.insert(0, QuotaStage(loans_until, shares, self.borrowed_shares()))
-        self.event_source.enqueue_event(
-            QuotaSharesUpdated(stages, self.member.tenants_over_share, their_now + OVER_SHARE_VALIDITY)
+        update = QuotaSharesUpdated(
+            stages,
+            over_fair_share=self.member.tenants_over_share,
+            over_fair_share_until=their_now + OVER_SHARE_VALIDITY,
         )
+        self.event_source.enqueue_event(update)
 
     def borrowed_shares(self) -> dict[str, float]:
-        """Return what each quota borrows, as a part of its own rate."""
+        """Return what each quota borrows, as a fraction of its own rate."""
         quota = self.member.local_quota
         borrowed: dict[str, float] = {}
-        for (lender, borrower), part in quota.loans.items():
-            lender_rate, borrower_rate = quota.specs[lender].rate, quota.specs[borrower].rate
+        for (lender, borrower), loan in quota.loans.items():
+            lender_rate = quota.specs[lender].rate
+            borrower_rate = quota.specs[borrower].rate
             if borrower_rate:
-                share = part / WHOLE * lender_rate / borrower_rate
+                share = loan / WHOLE * lender_rate / borrower_rate
                 borrowed[borrower] = borrowed.get(borrower, 0.0) + share
         return borrowed
--- a/locktide/cluster/fairness/anti_entropy.py
+++ b/locktide/cluster/fairness/anti_entropy.py
@@ -1,9 +1,9 @@
 """Anti-entropy between ledgers: reconciliation as in Scuttlebutt.
 
-Some times a second each member sends its digest to two others. A member with another one answers with the
+Some times a second each member sends its digest to two others. A member whose digest differs answers with the
 version up to which it has read each writer, a page of writers at a time, and is sent what it lacks, in the
-order of versions. Changed from the source: a delta says after which version it follows, so that a lost or
-late datagram leaves no hole; and closed writers are exchanged along with the versions.
+order of versions. Changed from the source: a delta states which version it follows, so that a lost or late
+datagram leaves no hole; and closed writers are exchanged along with the versions.
 
 Source: van Renesse, Dumitriu, Gough and Thomas, "Efficient reconciliation and flow control for anti-entropy
 protocols", LADIS 2008.
@@ -17,26 +17,41 @@
 from locktide.cluster.fairness.replicated_ledger import ReplicatedLedger
 from locktide.cluster.messages import Delta, Digest, LedgerRow, MemberId, Message
 
-WRITERS_PER_DIGEST = 24  # that go in one datagram, with the closed ones; names of sixteen bytes fit
+#: Writers in one digest, and as many closed ones: with names of sixteen bytes they fit one datagram.
+WRITERS_PER_DIGEST = 24
+#: Sorted after every name.
 AFTER_ALL_NAMES = "\U0010ffff"
 
-Versions = dict[MemberId, int]  # up to which each writer was read
+#: The version up to which each writer was read.
+Versions = dict[MemberId, int]
 
 
 @dataclass(slots=True)
 class AntiEntropy:
-    """Messages that make `replica` and another member's equal.
+    """Messages that make a replica and another member's equal.
 
-    `schema_checksum` tells that both sides number tenants and resources alike.
+    Attributes:
+        replica: this member's replica.
+        schema_checksum: checksum of the names of tenants and resources: where it is the same, both sides
+            number them alike.
+        cursor: the last writer's name on the previous page.
     """
 
     replica: ReplicatedLedger
     schema_checksum: int
-    cursor: str = ""  # the last writer's name on the previous page
+    cursor: str = ""
 
     def opening_digest(self) -> Message:
-        """Return the digest alone: mostly the other has the same, and that is all."""
-        return Digest(self.schema_checksum, self.replica.digest, [], [], "", "", True)
+        """Return the digest alone: mostly the other has the same, and nothing more is needed."""
+        return Digest(
+            schema_checksum=self.schema_checksum,
+            digest=self.replica.digest,
+            versions=[],
+            closed=[],
+            after_name="",
+            up_to_name="",
+            reply_expected=True,
+        )
 
     def handle_digest(self, digest: Digest) -> list[Message]:
         """Return the answers: a page of versions, or what the other lacks and our versions of that page."""
@@ -44,15 +59,17 @@
             return []
         for name, start, version in digest.closed:
             self.replica.close(name, (start, version))
-        if not digest.up_to_name:  # an opening digest, another than ours
-            return [self.next_page(True)]
-        after, up_to = digest.after_name, digest.up_to_name
+        is_opening = not digest.up_to_name
+        if is_opening:
+            return [self.next_page(reply_expected=True)]
+        after = digest.after_name
+        up_to = digest.up_to_name
         versions = {(name, start): version for name, start, version in digest.versions}
         answers: list[Message] = list(self.deltas_after(self.writers_between(after, up_to), versions))
         is_behind = any(version > self.replica.read_version(writer) for writer, version in versions.items())
         closed_differ = self.closed_between(after, up_to) != sorted(digest.closed)
         if digest.reply_expected and (is_behind or closed_differ):
-            answers.append(self.digest_between(after, up_to, False))
+            answers.append(self.digest_between(after, up_to, reply_expected=False))
         return answers
 
     def writers_between(self, after: str, up_to: str) -> list[MemberId]:
@@ -65,11 +82,13 @@
         return sorted((name, *closed[name]) for name in closed if after < name <= up_to)
 
     def next_page(self, reply_expected: bool) -> Message:
-        """Return the versions of the next page of writers, by name, round and round."""
+        """Return the versions of the next page of writers, by name; after the last page the first one."""
         writers = self.replica.writers
         names = sorted({writer[0] for writer in writers} | self.replica.closed.keys())
         remaining = [name for name in names if name > self.cursor]
-        after, last, count = self.cursor, "", 0
+        after = self.cursor
+        last = ""
+        count = 0
         for name in remaining:
             count += 1 + sum(writer[0] == name for writer in writers)
             if last and count > WRITERS_PER_DIGEST:
@@ -85,13 +104,13 @@
             (*writer, self.replica.read_version(writer)) for writer in self.writers_between(after, up_to)
         ]
         return Digest(
-            self.schema_checksum,
-            self.replica.digest,
-            versions[:WRITERS_PER_DIGEST],
-            self.closed_between(after, up_to)[:WRITERS_PER_DIGEST],
-            after,
-            up_to,
-            reply_expected,
+            schema_checksum=self.schema_checksum,
+            digest=self.replica.digest,
+            versions=versions[:WRITERS_PER_DIGEST],
+            closed=self.closed_between(after, up_to)[:WRITERS_PER_DIGEST],
+            after_name=after,
+            up_to_name=up_to,
+            reply_expected=reply_expected,
         )
 
     def deltas_after(self, writers: list[MemberId], versions: Versions) -> list[Delta]:
--- a/locktide/cluster/fairness/delta_packer.py
+++ b/locktide/cluster/fairness/delta_packer.py
@@ -4,18 +4,29 @@
 
 from locktide.cluster.messages import MAX_DATAGRAM, Delta, LedgerRow, MemberId, WriterDelta, encoded_size
 
-MAX_ROW_BYTES = MAX_DATAGRAM - 150  # bytes for rows, beside the rest of a datagram
-MAX_DELTAS = 4  # datagrams of rows in one answer: the next exchange goes on from there
+#: Bytes of a datagram beside its rows: checksum, sender, and the fields of a Delta.
+ENVELOPE_BYTES = 150
+#: Bytes for rows in one datagram.
+MAX_ROW_BYTES = MAX_DATAGRAM - ENVELOPE_BYTES
+#: Datagrams of rows in one answer; the next exchange continues from there.
+MAX_DELTAS = 4
 
 
 class DeltaPacker:
-    """Takes rows by writer, in the order of versions; a writer's rows may be split over datagrams."""
+    """Takes rows by writer, in the order of versions; a writer's rows may be split over datagrams.
+
+    Attributes:
+        schema_checksum: checksum of the names of tenants and resources.
+        deltas: the full datagrams.
+        writer_deltas: the rows of the datagram that is being filled.
+        used: their size in bytes.
+    """
 
     def __init__(self, schema_checksum: int) -> None:
         self.schema_checksum = schema_checksum
-        self.deltas: list[Delta] = []  # full datagrams
-        self.writer_deltas: list[WriterDelta] = []  # of the datagram that is being filled
-        self.used = 0  # bytes of its rows
+        self.deltas: list[Delta] = []
+        self.writer_deltas: list[WriterDelta] = []
+        self.used = 0
 
     def add(self, writer: MemberId, after_version: int, rows: list[LedgerRow]) -> bool:
         """Add what the writer wrote after a version; return whether all of it fitted."""
@@ -44,4 +55,5 @@
     def _close_datagram(self, group: WriterDelta) -> None:
         groups = self.writer_deltas + ([group] if group.rows else [])
         self.deltas.append(Delta(self.schema_checksum, groups))
-        self.writer_deltas, self.used = [], 0
+        self.writer_deltas = []
+        self.used = 0
--- a/locktide/cluster/fairness/dominant_share.py
+++ b/locktide/cluster/fairness/dominant_share.py
@@ -1,7 +1,7 @@
 """Dominant shares, and fair ones by weighted progressive filling over demands that have an end.
 
 All in whole numbers, so that all that compute from the same rows get the same to the last digit. Changed from
-the paper: demands end, tenants have weights, and those that need nothing of an exhausted resource go on.
+the paper: demands end, tenants have weights, and those that need nothing of an exhausted resource still rise.
 
 Source: Ghodsi, Zaharia, Hindman, Konwinski, Shenker and Stoica, "Dominant resource fairness: fair allocation
 of multiple resource types", NSDI 2011.
@@ -9,9 +9,11 @@
 
 from __future__ import annotations
 
-ONE = 1 << 40  # a whole capacity, of which shares are parts
+#: A whole capacity: shares are in parts of it.
+ONE = 1 << 40
 
-Vector = list[int]  # an amount of each resource
+#: An amount of each resource.
+Vector = list[int]
 
 
 def dominant_share(amounts: Vector, capacity: Vector) -> int:
@@ -37,7 +39,18 @@
 
 
 class _Filling:
-    """Raises the dominant shares of all tenants together, by weight, until each is met or blocked."""
+    """Raises the dominant shares of all tenants together, by weight, until each is met or blocked.
+
+    Shares are in parts of `ONE`.
+
+    Attributes:
+        weights: the weight of each tenant.
+        shares: the share of each resource that a tenant demands.
+        wanted: the dominant share that a tenant demands.
+        levels: the dominant share that it has so far.
+        left: what is left of each resource.
+        rising: the tenants that are neither met nor blocked.
+    """
 
     def __init__(self, capacity: Vector, demands: dict[int, Vector], weights: dict[int, int]) -> None:
         self.weights = weights
--- a/locktide/cluster/fairness/ledger.py
+++ b/locktide/cluster/fairness/ledger.py
@@ -17,23 +17,34 @@
 from locktide.cluster.messages import Delta, Digest, LedgerRow, MemberId, Message
 from locktide.scheduler.estimators.random import LinearCongruentialGenerator
 
-# Two others are sent the digest each round. Of nine members all knew within four rounds, of fifty within six.
+#: Time between two rounds of anti-entropy, in microseconds.
 ROUND_INTERVAL = 250_000
+#: Members that are sent the digest in each round. A change reaches nine members within four rounds and fifty
+#: within six.
 PEERS_PER_ROUND = 2
-# Own rows are written anew so often at most; of many members less often, so that all together write so many
-# a second: each of them goes to all.
+#: Least time between two writings of our own rows, and between two computations of the standing, in
+#: microseconds.
 WRITE_INTERVAL = 250_000
+#: Rows that all members together write in a second at most, as each row is sent to all: with many members or
+#: tenants each one writes less often.
 ROWS_PER_SECOND = 300
-CLOSING_INTERVAL = 1_000_000  # between two searches for dead writers
-Outgoing = list[tuple[str, Message]]  # the receiver's name, and the message
+#: Time between two searches for dead writers, in microseconds.
+CLOSING_INTERVAL = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
+#: Messages to send, each with the name of its receiver.
+Outgoing = list[tuple[str, Message]]
 
 
 @dataclass(frozen=True)
 class FairnessConfig:
-    """The same at all members. Amounts are in thousandths, vectors go by `resources`.
-
-    `weights` by tenant, `needs` by service class, `worker_capacity` of each worker. `max_job_time`:
-    microseconds after which no job of a dispatcher that died is left.
+    """Configuration of the ledger, the same at all members.
+
+    Attributes:
+        resources: the names of the resources; vectors have an amount of each, in thousandths.
+        weights: the weight of each tenant, in thousandths.
+        needs: what a job of each service class needs for each slot of its width.
+        worker_capacity: what each worker has.
+        max_job_time: the time after which no job of a dispatcher that died is left, in microseconds.
     """
 
     resources: list[str]
@@ -44,12 +55,32 @@
 
 
 class FairnessLedger:
-    """Keeps a replica equal to those of the other members, and the standing that follows from it."""
+    """Keeps a replica equal to those of the other members, and the standing that follows from it.
+
+    Attributes:
+        config: the configuration.
+        member_id: name and generation of this member.
+        random: the source of random choices.
+        tenants: the names of the tenants in the order of their indices.
+        weights: the weight of each tenant by its index.
+        usage: what tenants use through this dispatcher.
+        replica: the rows of all members.
+        anti_entropy: the exchange of rows.
+        version: the version of the last row that was written here.
+        next_round_at: when the next round of anti-entropy is due.
+        next_write_at: when our own rows are written next.
+        next_closing_at: when dead writers are searched for next.
+        next_recompute_at: when the standing is computed next.
+        gone_since: since when each writer counts as dead.
+        standing: the standing by the rows at the last computation.
+    """
 
     def __init__(
         self, config: FairnessConfig, member_id: MemberId, random: LinearCongruentialGenerator, now: int
     ) -> None:
-        self.config, self.member_id, self.random = config, member_id, random
+        self.config = config
+        self.member_id = member_id
+        self.random = random
         self.tenants = sorted(config.weights)
         self.weights = {index: config.weights[name] for index, name in enumerate(self.tenants)}
         tenant_indices = {name: index for index, name in enumerate(self.tenants)}
@@ -57,8 +88,11 @@
         self.replica = ReplicatedLedger()
         schema = "\0".join([*self.tenants, "", *config.resources]).encode()
         self.anti_entropy = AntiEntropy(self.replica, crc32(schema))
-        self.version = 0  # of the last row that was written
-        self.next_round_at = self.next_write_at = self.next_closing_at = self.next_recompute_at = now
+        self.version = 0
+        self.next_round_at = now
+        self.next_write_at = now
+        self.next_closing_at = now
+        self.next_recompute_at = now
         self.gone_since: dict[MemberId, int] = {}
         self.standing = FairnessStanding()
 
@@ -70,14 +104,17 @@
     def tick(self, alive: list[str], starts: dict[str, int], now: int) -> Outgoing:
         """Do what is due; return the messages to send.
 
-        `alive` are the names of members that may live, `starts` when the latest known process of each name
-        began.
+        Args:
+            alive: the names of the members that are alive or suspected.
+            starts: the generation of the latest known process of each name.
+            now: the time.
         """
         outgoing: Outgoing = []
         peers = [name for name in alive if name != self.member_id[0]]
         if now >= self.next_write_at:
-            rows = len(alive) * len(self.tenants)
-            self.next_write_at = now + max(WRITE_INTERVAL, rows * 1_000_000 // ROWS_PER_SECOND)
+            row_count = len(alive) * len(self.tenants)
+            time_for_rows = row_count * MICROSECONDS_PER_SECOND // ROWS_PER_SECOND
+            self.next_write_at = now + max(WRITE_INTERVAL, time_for_rows)
             outgoing += self._publish_rows(peers)
         if now >= self.next_round_at:
             self.next_round_at = now + ROUND_INTERVAL
@@ -117,13 +154,13 @@
         writer_rows = self.replica.writers.get(self.member_id)
         start, closed_version = self.replica.closed.get(self.member_id[0], NOT_CLOSED)
         if start == self.member_id[1]:
-            self.version = max(self.version, closed_version)  # the others took this process for dead
+            self.version = max(self.version, closed_version)  # the others declared this process dead
         written = []
         for index, (in_use, waiting) in sorted(self._current_amounts().items()):
             previous = writer_rows.rows.get(index) if writer_rows is not None else None
             if previous is None or (previous.in_use, previous.waiting) != (in_use, waiting):
                 self.version += 1
-                row = LedgerRow(index, self.version, list(in_use), list(waiting))
+                row = LedgerRow(index=index, version=self.version, in_use=list(in_use), waiting=list(waiting))
                 self.replica.put(self.member_id, row)
                 written.append(row)
         return written
--- a/locktide/cluster/fairness/replicated_ledger.py
+++ b/locktide/cluster/fairness/replicated_ledger.py
@@ -16,26 +16,35 @@
 from locktide.cluster.messages import LedgerRow, MemberId, WriterDelta
 
 ENCODER = msgspec.msgpack.Encoder()
-CHECKSUM_MODULUS = 1 << 64
-# The index of a row that holds capacities as its writer sees them, beside those of tenants.
+CHECKSUM_BYTES = 8
+CHECKSUM_MODULUS = 1 << (8 * CHECKSUM_BYTES)
+#: The index of a row that has the capacities that its writer sees; tenants have indices up to the other.
 CAPACITY_INDEX = 65_535
 MAX_TENANT_INDEX = 255
-# Guards the memory against a peer that names writers without end: four times the largest fleet in mind.
+#: Writers that are known at most: four times the largest fleet in mind. A faulty peer that names writers
+#: without end would else fill the memory.
 MAX_WRITERS = 4096
-NOTHING_COUNTS = 1 << 62  # a version beyond all that are written
+#: Later than every version that is written.
+NOTHING_COUNTS = 1 << 62
 
-ClosedUpTo = tuple[int, int]  # a start and a version of it: earlier starts are closed as a whole
+#: A generation and a version of it up to which rows are closed; earlier generations are closed as a whole.
+ClosedUpTo = tuple[int, int]
 NOT_CLOSED: ClosedUpTo = (0, 0)
 
 
 def checksum(value: object) -> int:
     """Return a 64-bit checksum of a value's MessagePack encoding."""
-    return int.from_bytes(blake2b(ENCODER.encode(value), digest_size=8).digest(), "big")
+    return int.from_bytes(blake2b(ENCODER.encode(value), digest_size=CHECKSUM_BYTES).digest(), "big")
 
 
 @dataclass(slots=True)
 class WriterRows:
-    """One writer's rows. All that it wrote up to `version` is in them, or superseded by a later row."""
+    """One writer's rows.
+
+    Attributes:
+        version: all that was written up to this version is in the rows, or superseded by a later row.
+        rows: the latest row of each index.
+    """
 
     version: int = 0
     rows: dict[int, LedgerRow] = field(default_factory=dict)
@@ -46,20 +55,28 @@
 
     The sums are brought up to date with each row: recomputing them from thousands of rows some times a second
     would cost more than all else.
+
+    Attributes:
+        writers: the rows of each writer.
+        closed: up to where the rows of each name are closed.
+        digest: a checksum of all rows and closed names, the same for the same ones.
+        in_use: what each tenant uses, by its index, in thousandths.
+        waiting: what the waiting requests of each tenant need, in the same form.
+        seen_capacities: the capacity that each writer sees.
     """
 
     def __init__(self) -> None:
         self.writers: dict[MemberId, WriterRows] = {}
-        self.closed: dict[str, ClosedUpTo] = {}  # by name
+        self.closed: dict[str, ClosedUpTo] = {}
         self.digest = 0
-        self.in_use: dict[int, Vector] = {}  # by tenant
+        self.in_use: dict[int, Vector] = {}
         self.waiting: dict[int, Vector] = {}
         self.seen_capacities: dict[MemberId, Vector] = {}
 
     # --- what counts
 
     def is_closed(self, writer: MemberId, version: int) -> bool:
-        """Whether the writer's rows of that version count no more."""
+        """Return whether the writer's rows of that version count no more."""
         return (writer[1], version) <= self.closed.get(writer[0], NOT_CLOSED)
 
     def read_version(self, writer: MemberId) -> int:
@@ -68,7 +85,9 @@
         if writer[1] < start:
             return NOTHING_COUNTS
         writer_rows = self.writers.get(writer)
-        return max(writer_rows.version if writer_rows else 0, version if writer[1] == start else 0)
+        known_version = writer_rows.version if writer_rows else 0
+        closed_version = version if writer[1] == start else 0
+        return max(known_version, closed_version)
 
     def rows(self) -> list[tuple[MemberId, LedgerRow]]:
         """Return all rows with their writers."""
@@ -121,7 +140,8 @@
     def close(self, name: str, up_to: ClosedUpTo) -> bool:
         """Drop the rows of the name up to a start and version, for good; return whether that was new."""
         previous = self.closed.get(name, NOT_CLOSED)
-        if up_to <= previous or name not in self.closed and len(self.closed) >= MAX_WRITERS:
+        is_full = name not in self.closed and len(self.closed) >= MAX_WRITERS
+        if up_to <= previous or is_full:
             return False
         if previous != NOT_CLOSED:
             self._add_to_digest(-checksum((name, previous)))
--- a/locktide/cluster/fairness/standing.py
+++ b/locktide/cluster/fairness/standing.py
@@ -11,14 +11,23 @@
 
 @dataclass(frozen=True)
 class FairnessStanding:
-    """The same at every member that has the same digest. Shares are in parts of `dominant_share.ONE`."""
+    """What follows from one digest, the same at every member. Shares are in parts of `dominant_share.ONE`.
+
+    Attributes:
+        digest: the digest of the rows that it was computed from.
+        order: the tenants, the one with the least share for its weight first.
+        dominant_shares: the dominant share of each tenant.
+        fair_shares: the dominant share that each tenant should have.
+        contended: whether any tenant has less than it demands.
+        over_share: the tenants with more than their fair share, while the fleet is contended.
+    """
 
     digest: int = 0
-    order: list[str] = field(default_factory=list)  # of tenants, the least share for its weight first
+    order: list[str] = field(default_factory=list)
     dominant_shares: dict[str, int] = field(default_factory=dict)
     fair_shares: dict[str, int] = field(default_factory=dict)
     contended: bool = False
-    over_share: frozenset[str] = frozenset()  # who has more than its fair share while others go short
+    over_share: frozenset[str] = frozenset()
 
 
 def compute_standing(
@@ -34,18 +43,24 @@
     contended = any(fair[tenant] < wanted[tenant] for tenant in in_use)
     over_share = {tenant for tenant in in_use if contended and shares[tenant] > fair[tenant]}
     return FairnessStanding(
-        replica.digest,
-        [tenants[tenant] for tenant in _by_weighted_share(shares, weights)],
-        {tenants[tenant]: share for tenant, share in sorted(shares.items())},
-        {tenants[tenant]: share for tenant, share in sorted(fair.items())},
-        contended,
-        frozenset(tenants[tenant] for tenant in over_share),
+        digest=replica.digest,
+        order=[tenants[tenant] for tenant in _by_weighted_share(shares, weights)],
+        dominant_shares={tenants[tenant]: share for tenant, share in sorted(shares.items())},
+        fair_shares={tenants[tenant]: share for tenant, share in sorted(fair.items())},
+        contended=contended,
+        over_share=frozenset(tenants[tenant] for tenant in over_share),
     )
 
 
 def _by_weighted_share(shares: dict[int, int], weights: dict[int, int]) -> list[int]:
-    """Order tenants by their share for the weight, without a fraction; and by name where these are equal."""
+    """Return tenants by their share for the weight, and by name where these are equal.
+
+    Shares are multiplied by a common multiple of the weights, so that dividing by one leaves no fraction.
+    """
     common_multiple = prod(set(weights.values()))
-    return sorted(
-        weights, key=lambda tenant: (shares.get(tenant, 0) * (common_multiple // weights[tenant]), tenant)
-    )
+
+    def sort_key(tenant: int) -> tuple[int, int]:
+        weighted_share = shares.get(tenant, 0) * (common_multiple // weights[tenant])
+        return weighted_share, tenant
+
+    return sorted(weights, key=sort_key)
--- a/locktide/cluster/fairness/usage.py
+++ b/locktide/cluster/fairness/usage.py
@@ -16,19 +16,33 @@
 
 @dataclass(slots=True)
 class OpenUsage:
-    """A request that waits, or of which attempts may be running."""
+    """A request that waits, or of which attempts may be running.
+
+    Attributes:
+        tenant_index: the index of its tenant.
+        needs: what it needs of each resource, in thousandths.
+        running: how many attempts have no outcome.
+        answered: whether the request has its response.
+    """
 
     tenant_index: int
     needs: Vector
-    running: int = 0  # attempts without an outcome
+    running: int = 0
     answered: bool = False
 
 
 class UsageTracker:
     """Sums of needs by tenant; all amounts are in thousandths.
 
-    `tenant_indices` by tenant, `needs` by service class for each slot of a request's width,
-    `worker_capacity` of one worker.
+    Attributes:
+        tenant_indices: the index of each tenant.
+        needs: what a request of each service class needs for each slot of its width.
+        worker_capacity: what each worker has.
+        open_requests: the requests that wait or may be running, by their id.
+        ready_workers: the workers that the endpoint list has as ready.
+        in_use: what each tenant uses, by its index.
+        waiting: what the waiting requests of each tenant need.
+        handlers: what takes in each type of event or command.
     """
 
     def __init__(
@@ -37,16 +51,16 @@
         self.tenant_indices = tenant_indices
         self.needs = needs
         self.worker_capacity = worker_capacity
-        self.open_requests: dict[Any, OpenUsage] = {}  # by request id
+        self.open_requests: dict[Any, OpenUsage] = {}
         self.ready_workers: set[Any] = set()
-        self.in_use: dict[int, Vector] = {}  # by tenant index
+        self.in_use: dict[int, Vector] = {}
         self.waiting: dict[int, Vector] = {}
         self.handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self._on_arrival,
             StartAttempt: self._on_attempt_started,
             AttemptEnded: self._on_attempt_ended,
-            # Without it a request whose client has left would count as waiting for ever: no command tells of
-            # that.
+            # No command follows a disconnect: without this a request whose client has left would count as
+            # waiting for ever.
             ClientDisconnected: self._on_answered,
             RejectRequest: self._on_answered,
             FailRequest: self._on_answered,
@@ -97,7 +111,7 @@
             del self.open_requests[event.request_id]
 
     def _on_answered(self, event: Answered) -> None:
-        """The request has its response; attempts that still run for it count until they have ended."""
+        """Note that a request has its response; attempts that still run count until they have ended."""
         usage = self.open_requests.get(event.request_id)
         if usage is None or usage.answered:
             return
--- a/locktide/cluster/membership/dissemination.py
+++ b/locktide/cluster/membership/dissemination.py
@@ -7,23 +7,32 @@
 
 from locktide.cluster.messages import MemberRecord
 
-# Each change is sent this often times log10(n + 1): memberlist's four reaches all of a thousand members with
-# a tenth of the datagrams lost.
+#: How often each change is sent, times log10(n + 1) of n members: memberlist's four reaches all of a thousand
+#: members with a tenth of the datagrams lost.
 RETRANSMIT_FACTOR = 4
-# Records in one datagram: ten with the longest names and addresses stay below 1,200 bytes.
+#: Records in one datagram: ten with the longest names and addresses stay below 1,200 bytes.
 MAX_RECORDS = 10
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedRecord:
-    """A record, and how often it was sent."""
+    """A record, and how often it was sent.
+
+    Attributes:
+        record: the record.
+        sent: how many messages have had it.
+    """
 
     record: MemberRecord
     sent: int = 0
 
 
 class DisseminationQueue:
-    """The changes that are still to be sent, one for each member."""
+    """The changes that are still to be sent.
+
+    Attributes:
+        queued: the last change of each member, by its name.
+    """
 
     def __init__(self) -> None:
         self.queued: dict[str, QueuedRecord] = {}
@@ -35,9 +44,9 @@
     def take(self, members: int) -> list[MemberRecord]:
         """Return the records sent least, and drop those that were sent often enough for so many members."""
         transmit_limit = RETRANSMIT_FACTOR * ceil(log10(members + 1.0))
-        chosen = sorted(self.queued, key=lambda name: (self.queued[name].sent, name))[:MAX_RECORDS]
+        least_sent_first = sorted(self.queued, key=lambda name: (self.queued[name].sent, name))
         records = []
-        for name in chosen:
+        for name in least_sent_first[:MAX_RECORDS]:
             entry = self.queued[name]
             records.append(entry.record)
             if entry.sent + 1 >= transmit_limit:
--- a/locktide/cluster/membership/events.py
+++ b/locktide/cluster/membership/events.py
@@ -18,6 +18,7 @@
     SUPERSEDED = "superseded"
 
 
+#: What is reported when a member is in a new state.
 EVENT_OF_STATE = {
     MemberState.ALIVE: MembershipEventKind.ALIVE,
     MemberState.SUSPECT: MembershipEventKind.SUSPECT,
@@ -28,7 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """A member's new state; SUPERSEDED: a later process of our own name was found, with its record."""
+    """A change of the membership.
+
+    Attributes:
+        kind: what happened; SUPERSEDED where a later process of our own name was found.
+        record: the record of the member, or of that later process.
+    """
 
     kind: MembershipEventKind
     record: MemberRecord
--- a/locktide/cluster/membership/partition_healing.py
+++ b/locktide/cluster/membership/partition_healing.py
@@ -1,7 +1,7 @@
-"""Lets members that consider each other dead meet again, and tells a superseded process of the later one.
+"""Lets members that consider each other dead meet again, and notifies superseded processes of the later one.
 
 Nobody probes a member that counts as dead, and gossip about it is sent only a bounded number of times:
-without this module such an error stayed for good, and with it two ledgers (6 and 7 of 300 random runs).
+without this module such an error would stay for good, and with it two ledgers.
 """
 
 from __future__ import annotations
@@ -15,14 +15,26 @@
 
 @dataclass(frozen=True, slots=True)
 class SupersededNotice:
-    """Where an earlier process of a name is reached, and the record of the later one that it has to learn."""
+    """What an earlier process of a name has to learn.
+
+    Attributes:
+        address: where the earlier process is reached.
+        record: the record of the later one.
+    """
 
     address: tuple[str, int]
     record: MemberRecord
 
 
 class PartitionHealing:
-    """Finds what a member has to be told that others consider dead or that a later process has superseded."""
+    """Finds what a member has to learn that others consider dead or that a later process has superseded.
+
+    Attributes:
+        table: the records of all members.
+        seeds: addresses at which members are first contacted.
+        generator: the source of random choices.
+        superseded: the records of earlier processes, by name, where a later one has another address.
+    """
 
     def __init__(
         self, table: MemberTable, seeds: list[tuple[str, int]], generator: LinearCongruentialGenerator
@@ -30,7 +42,6 @@
         self.table = table
         self.seeds = seeds
         self.generator = generator
-        # Earlier processes of a name, as they were known, where a later one has another address.
         self.superseded: dict[str, MemberRecord] = {}
 
     def note_superseded(self, record: MemberRecord, current: MemberRecord) -> None:
@@ -47,7 +58,7 @@
         return [record] if is_doubted or record.generation != envelope.generation else []
 
     def superseded_notice(self, envelope: Envelope) -> SupersededNotice | None:
-        """Return what an earlier process of a name that has just sent a message must be told.
+        """Return what an earlier process of a name that has just sent a message must learn.
 
         Messages to a name go to the later process's address, also when that one is dead: without a notice to
         its own address the earlier process would never learn of the later.
--- a/locktide/cluster/membership/probing.py
+++ b/locktide/cluster/membership/probing.py
@@ -9,9 +9,16 @@
 
 @dataclass(slots=True)
 class ProbeInProgress:
-    """The probe in progress; times in microseconds.
-
-    `silent_relays` are the members asked for an indirect probe that have not yet sent a Nack.
+    """The probe in progress; times are in microseconds.
+
+    Attributes:
+        target: the name of the probed member.
+        sequence: the sequence number of the Ping.
+        indirect_at: when relays are requested to probe, if no answer has come.
+        deadline: when the probe has failed.
+        is_indirect: whether relays were requested to probe.
+        is_acked: whether an answer has come.
+        silent_relays: the relays that have not yet sent a Nack.
     """
 
     target: str
@@ -24,13 +31,19 @@
 
     @property
     def next_wakeup(self) -> int:
-        """When the probe has to be looked at next."""
+        """When the probe has to be checked next."""
         return self.deadline if self.is_indirect or self.is_acked else self.indirect_at
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """A suspected member: since when, by whom, and when it counts as dead; times in microseconds."""
+    """A suspected member; times are in microseconds.
+
+    Attributes:
+        started_at: since when it is suspected.
+        accusers: the names of the members that suspect it.
+        deadline: when it counts as dead.
+    """
 
     started_at: int
     accusers: set[str]
@@ -39,7 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedProbe:
-    """An indirect probe made for another member, with that member's sequence number."""
+    """An indirect probe made for another member.
+
+    Attributes:
+        requester: the name of that member.
+        sequence: the sequence number of its probe.
+    """
 
     requester: str
     sequence: int
@@ -49,6 +67,10 @@
     """Round-robin over the members in an order that is shuffled for each round, as in SWIM.
 
     So each member is probed within a bounded time, and never in the same order by all.
+
+    Attributes:
+        generator: the source of random choices.
+        remaining: the members that are still to be probed in this round, the next one last.
     """
 
     def __init__(self, generator: LinearCongruentialGenerator) -> None:
--- a/locktide/cluster/membership/suspicion.py
+++ b/locktide/cluster/membership/suspicion.py
@@ -9,14 +9,19 @@
 
 from math import log, log10
 
-# Microseconds. 1 s between probes as in memberlist's LAN profile, a third of it for the answer: all members
-# are on one site.
+#: Time between two probes of a member, in microseconds, as in memberlist's LAN profile.
 PROBE_INTERVAL = 1_000_000
+#: Time for the answer to a direct probe, in microseconds: all members are on one site.
 ACK_TIMEOUT = 300_000
-INDIRECT_PROBES = 3  # members that are asked to probe on our behalf
-MIN_SUSPICION_INTERVALS = 4.0  # shortest timeout in probe intervals, times log10(n)
-MAX_SUSPICION_FACTOR = 6.0  # how many times longer the timeout is at first
-MAX_CONFIRMATIONS = 3  # further accusers that bring the timeout down to the shortest
+#: Members that are requested to probe on our behalf.
+INDIRECT_PROBES = 3
+#: Shortest timeout of a suspicion in probe intervals, times log10(n) of n members.
+MIN_SUSPICION_INTERVALS = 4.0
+#: How many times as long the timeout is at first.
+MAX_SUSPICION_FACTOR = 6.0
+#: Further accusers that bring the timeout down to the shortest.
+MAX_CONFIRMATIONS = 3
+#: The worst health score: a member probes at most nine times as slowly.
 MAX_HEALTH_SCORE = 8
 
 
@@ -39,7 +44,11 @@
 
 
 class LocalHealth:
-    """Lifeguard's local health multiplier: 0 is healthy. It only ever makes this member's probes slower."""
+    """Lifeguard's local health multiplier, which only makes this member's probes slower.
+
+    Attributes:
+        score: from 0, healthy, to `MAX_HEALTH_SCORE`.
+    """
 
     def __init__(self) -> None:
         self.score = 0
--- a/locktide/cluster/membership/swim.py
+++ b/locktide/cluster/membership/swim.py
@@ -24,16 +24,33 @@
 )
 from locktide.scheduler.estimators.random import LinearCongruentialGenerator
 
+#: Messages to send, each with the address of its receiver.
 Outgoing = list[tuple[Address, Message]]
-"""Messages to send, each with the address of its receiver."""
-# Mean time between full syncs with one random member: they repair what gossip missed, also after a partition.
+#: Mean time between full syncs with one random member, in microseconds: they repair what gossip missed, also
+#: after a partition.
 FULL_SYNC_INTERVAL = 10_000_000
-# Guards the memory: probes that are not answered by the time that so many are relayed will not be.
+#: Relayed probes that are remembered. Members that request probes without end would else fill the memory; one
+#: that is not answered by the time that so many are relayed will not be.
 MAX_RELAYED_PROBES = 256
+#: Members that are notified of our leave; gossip carries it on.
+LEAVE_NOTICES = 2 * INDIRECT_PROBES
 
 
 class Swim:
-    """One member's view of the cluster, and its part in keeping everybody's view up to date."""
+    """One member's view of the cluster, and its part in keeping everybody's view up to date.
+
+    Attributes:
+        member_id: name and generation of this member.
+        seeds: addresses at which other members are first contacted.
+        generator: the source of random choices.
+        view: what this member knows of all.
+        probe_order: which member is probed next.
+        next_probe_at: when the next probe begins.
+        next_full_sync_at: when the next full sync is sent.
+        probe: the probe in progress, if any.
+        relayed_probes: probes on behalf of others, by our own sequence number.
+        last_sequence: the last sequence number that was used.
+    """
 
     def __init__(
         self,
@@ -51,7 +68,7 @@
         self.next_probe_at = now
         self.next_full_sync_at = now
         self.probe: ProbeInProgress | None = None
-        self.relayed_probes: dict[int, RelayedProbe] = {}  # by our own sequence number
+        self.relayed_probes: dict[int, RelayedProbe] = {}
         self.last_sequence = 0
 
     # --- queries
@@ -99,7 +116,7 @@
     def handle_ping(self, envelope: Envelope, ping: Ping, now: int) -> Outgoing:
         """Answer a probe."""
         if ping.target_record is not None:
-            # Lifeguard's buddy system: who is suspected learns it first of all.
+            # Lifeguard's buddy system: a suspected member learns of it with the first message.
             self.view.merge(ping.target_record, now, envelope.sender)
         gossip = self.view.partition_healing.records_to_refute(envelope) + self.view.take_gossip()
         return self.address_to(envelope.sender, Ack(ping.sequence, gossip)) + self.notify_superseded(envelope)
@@ -122,7 +139,8 @@
         """Take in a page of records, and reply with all of ours where that is wanted."""
         for record in sync.records:
             self.view.merge(record, now, envelope.sender)
-        # A notice is no request, and is not answered: two superseded processes would go on for ever.
+        # A notice is no request, and is not answered: two superseded processes would answer each other for
+        # ever.
         if not sync.reply_wanted:
             return []
         reply = self.full_sync(self.address_of(envelope.sender), reply_wanted=False)
@@ -139,7 +157,7 @@
         return ping + self.address_to(requester, Nack(probe.sequence))
 
     def notify_superseded(self, envelope: Envelope) -> Outgoing:
-        """Tell a superseded process, at its own address, of the later one."""
+        """Notify a superseded process, at its own address, of the later one."""
         notice = self.view.partition_healing.superseded_notice(envelope)
         return [(notice.address, FullSync([notice.record], False))] if notice is not None else []
 
@@ -167,7 +185,12 @@
         target = self.probe_order.next_target(others)
         self.last_sequence += 1
         ack_timeout = min(self.view.health.scale(ACK_TIMEOUT), interval // 2)
-        self.probe = ProbeInProgress(target, self.last_sequence, now + ack_timeout, now + interval - 1)
+        self.probe = ProbeInProgress(
+            target=target,
+            sequence=self.last_sequence,
+            indirect_at=now + ack_timeout,
+            deadline=now + interval - 1,
+        )
         ping = Ping(self.last_sequence, self.view.table.records[target], self.view.take_gossip())
         return self.address_to(target, ping)
 
@@ -184,7 +207,7 @@
         return outgoing
 
     def start_indirect_probes(self, probe: ProbeInProgress) -> Outgoing:
-        """Ask some members that are not suspected to probe the target."""
+        """Request some members that are not suspected to probe the target."""
         probe.is_indirect = True
         candidates = [
             name
@@ -193,13 +216,11 @@
         ]
         relays = self.draw(candidates, INDIRECT_PROBES)
         probe.silent_relays = set(relays)
-        return [
-            send
-            for name in relays
-            for send in self.address_to(
-                name, IndirectProbe(probe.sequence, probe.target, self.view.take_gossip())
-            )
-        ]
+        outgoing: Outgoing = []
+        for name in relays:
+            request = IndirectProbe(probe.sequence, probe.target, self.view.take_gossip())
+            outgoing += self.address_to(name, request)
+        return outgoing
 
     def finish_probe(self, probe: ProbeInProgress, now: int) -> None:
         """Suspect the target where neither it nor a relay has answered for it."""
@@ -227,9 +248,9 @@
         return outgoing + self.full_sync(lost, reply_wanted=True)
 
     def leave(self) -> Outgoing:
-        """Tell some members that this one leaves; nothing is sent after that."""
+        """Notify some members that this one leaves; nothing is sent after that."""
         self.view.leave()
-        receivers = self.draw(self.view.other_members(), 2 * INDIRECT_PROBES)
+        receivers = self.draw(self.view.other_members(), LEAVE_NOTICES)
         notice = FullSync([self.view.own_record], False)
         return [send for name in receivers for send in self.address_to(name, notice)]
 
--- a/locktide/cluster/membership/view.py
+++ b/locktide/cluster/membership/view.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import msgspec
+
 from locktide.cluster.membership.dissemination import DisseminationQueue
 from locktide.cluster.membership.events import EVENT_OF_STATE, MembershipEvent, MembershipEventKind
 from locktide.cluster.membership.member_table import MemberTable
@@ -11,12 +13,24 @@
 from locktide.cluster.messages import MemberId, MemberRecord, MemberState
 from locktide.scheduler.estimators.random import LinearCongruentialGenerator
 
+#: Host and UDP port.
 Address = tuple[str, int]
-"""Host and UDP port."""
 
 
 class MembershipView:
-    """What one member knows of all, itself among them. Times are microseconds of its own clock."""
+    """What one member knows of all, itself among them. Times are microseconds of its own clock.
+
+    Attributes:
+        member_id: name and generation of this member.
+        own_record: its record of itself.
+        table: the records of all members.
+        gossip: the changes that are to be sent.
+        health: how well this member answers others.
+        suspicions: the suspected members by name.
+        events: the changes that are not reported yet.
+        superseded: whether a later process of our name was found.
+        partition_healing: what members must learn that others consider dead or superseded.
+    """
 
     def __init__(
         self,
@@ -27,13 +41,16 @@
         now: int,
     ) -> None:
         self.member_id = member_id
-        self.own_record = MemberRecord(*member_id, 0, MemberState.ALIVE, address)
+        name, generation = member_id
+        self.own_record = MemberRecord(
+            name=name, generation=generation, incarnation=0, state=MemberState.ALIVE, address=address
+        )
         self.table = MemberTable()
         self.gossip = DisseminationQueue()
         self.health = LocalHealth()
         self.suspicions: dict[str, Suspicion] = {}
         self.events: list[MembershipEvent] = []
-        self.superseded = False  # a later process of our name was found
+        self.superseded = False
         self.partition_healing = PartitionHealing(self.table, seeds, generator)
         self.table.merge(self.own_record, now)
         self.gossip.add(self.own_record)
@@ -68,8 +85,9 @@
         self.partition_healing.note_superseded(previous, record)
         self.gossip.add(record)
         if record.state == MemberState.SUSPECT:
-            suspicion = self.suspicions[record.name] = Suspicion(now, {accuser})
+            suspicion = Suspicion(now, {accuser})
             suspicion.deadline = now + self.suspicion_timeout(suspicion)
+            self.suspicions[record.name] = suspicion
         else:
             self.suspicions.pop(record.name, None)
         if (previous.generation, previous.state) != (record.generation, record.state):
@@ -89,7 +107,7 @@
             self.gossip.add(record)
 
     def merge_own(self, record: MemberRecord, now: int) -> None:
-        """Take in what another member says of us.
+        """Take in another member's record of us.
 
         A suspicion is refuted by a higher incarnation. A record of an earlier generation of our name is
         superseded by ours; one of a later generation shows that we are superseded.
@@ -103,7 +121,7 @@
         is_accusation = record.generation == own.generation and record.state > MemberState.ALIVE
         if is_accusation and record.incarnation >= own.incarnation:
             self.health.adjust(+1)  # we were too slow for somebody
-            self.own_record = MemberRecord(*self.member_id, record.incarnation + 1, own.state, own.address)
+            self.own_record = msgspec.structs.replace(own, incarnation=record.incarnation + 1)
         if record != self.own_record:
             self.table.merge(self.own_record, now)
             self.gossip.add(self.own_record)
@@ -121,17 +139,16 @@
 
     def conclude(self, record: MemberRecord, state: MemberState, now: int) -> None:
         """Merge a state that we concluded ourselves of a member."""
-        concluded = MemberRecord(record.name, record.generation, record.incarnation, state, record.address)
+        concluded = msgspec.structs.replace(record, state=state)
         self.merge(concluded, now, self.member_id[0])
 
     def has_left(self) -> bool:
-        """Whether this member has left the cluster."""
+        """Return whether this member has left the cluster."""
         return self.own_record.state == MemberState.LEFT
 
     def leave(self) -> None:
         """Mark this member as one that has left."""
-        own = self.own_record
-        self.own_record = MemberRecord(*self.member_id, own.incarnation, MemberState.LEFT, own.address)
+        self.own_record = msgspec.structs.replace(self.own_record, state=MemberState.LEFT)
 
     def prune(self, now: int) -> None:
         """Forget members that have been gone for long."""
@@ -140,5 +157,6 @@
 
     def take_events(self) -> list[MembershipEvent]:
         """Return the events since the last call."""
-        events, self.events = self.events, []
+        events = self.events
+        self.events = []
         return events
--- a/locktide/cluster/messages.py
+++ b/locktide/cluster/messages.py
@@ -15,24 +15,24 @@
 import msgspec
 from msgspec import Meta
 
-VERSION = 2  # version 1 had neither loans nor the fairness ledger
-# Bytes of a datagram: less than the smallest MTU of any path, so that none is fragmented.
+#: Version of the protocol; version 1 had neither loans nor the fairness ledger.
+VERSION = 2
+#: Largest datagram, in bytes: less than the smallest MTU of any path, so that none is fragmented.
 MAX_DATAGRAM = 1200
 CHECKSUM_BYTES = 4
 
 Count = Annotated[int, Meta(ge=0)]
+#: Millionths of a whole.
 Millionths = Annotated[int, Meta(ge=0, le=1_000_000)]
-"""Millionths of a whole."""
+#: A member's name, and its generation: when this process started, in whole microseconds of Unix time.
 MemberId = tuple[str, int]
-"""A member's name, and its generation: when this process started, in whole microseconds of Unix time."""
+#: A ballot of the election: a counter and the proposer's member id; ballots are totally ordered.
 Ballot = tuple[Count, str, int]
-"""A ballot of the election: a counter and the proposer's member id; ballots are totally ordered."""
-# Quotas are sent as their index among the sorted names, which is the same wherever the checksum of the names
-# is: fifty of them and the loans between them fit one datagram.
+#: Index of a quota among the sorted names of all quotas, which is the same wherever the checksum of the names
+#: is the same. Fifty of them and the loans between them fit one datagram.
 QuotaIndex = Annotated[int, Meta(ge=0, le=255)]
-"""Index of a quota among the sorted names of all quotas."""
+#: A loan: the lending quota, the borrowing quota, and millionths of the lender's whole.
 LoanTriple = tuple[QuotaIndex, QuotaIndex, Millionths]
-"""A loan: the lending quota, the borrowing quota, and millionths of the lender's whole."""
 
 
 class MemberState(IntEnum):
@@ -73,7 +73,7 @@
 
 
 class IndirectProbe(Message, tag="Probe"):
-    """Asks the receiver to ping `target` on the sender's behalf."""
+    """Requests the receiver to ping `target` on the sender's behalf."""
 
     sequence: int
     target: str
--- a/locktide/cluster/reporting.py
+++ b/locktide/cluster/reporting.py
@@ -8,7 +8,10 @@
 from locktide.cluster.member import ClusterMember
 from locktide.cluster.membership.events import MembershipEvent, MembershipEventKind
 
-LOG_KIND = "cluster"  # lines of one kind are rate-limited together
+#: Kind of all lines of the cluster in the log: lines of one kind are rate-limited together.
+LOG_KIND = "cluster"
+#: Millionths in a percent.
+PERCENT = 10_000
 
 
 class Log(Protocol):
@@ -19,10 +22,17 @@
 
 
 class Reporter:
-    """Reports membership events, quotas, loans and fairness of one member."""
+    """Reports membership events, quotas, loans and fairness of one member.
+
+    Attributes:
+        member: the member.
+        log: where lines go.
+        trace: gets a line of JSON for each change of the quotas in force; None for no trace.
+        logged_loans: lender and borrower of the loans that the log names last.
+        logged_over_share: the tenants over their fair share that the log names last.
+    """
 
     def __init__(self, member: ClusterMember, log: Log, trace: TextIO | None) -> None:
-        """`trace` gets a line of JSON for each change of the quotas in force; None for no trace."""
         self.member = member
         self.log = log
         self.trace = trace
@@ -47,10 +57,10 @@
 
     def report_quotas(self, now: int) -> None:
         """Log the quotas in force, and loans and fairness where these have changed."""
-        parts = self.member.local_quota.shares
-        shown = ", ".join(f"{name} {part / 1e4:.1f}%" for name, part in parts.items())
+        shares = self.member.local_quota.shares
+        shown = ", ".join(f"{name} {share / PERCENT:.1f}%" for name, share in shares.items())
         self.log.emit(
-            f"cluster: quotas in force: {shown}", LOG_KIND, event="quotas_changed", quotas=dict(parts)
+            f"cluster: quotas in force: {shown}", LOG_KIND, event="quotas_changed", quotas=dict(shares)
         )
         self.report_loans()
         self.report_fairness()
@@ -65,7 +75,7 @@
             return
         self.logged_loans = pairs
         shown = ", ".join(
-            f"{part / 1e4:.1f}% of {lender} for {borrower}" for (lender, borrower), part in loans
+            f"{share / PERCENT:.1f}% of {lender} for {borrower}" for (lender, borrower), share in loans
         )
         self.log.emit(f"cluster: borrowed {shown or 'nothing'}", LOG_KIND, event="loans_changed", loans=pairs)
 
@@ -86,7 +96,7 @@
             "parts": quota.shares,
             "until": quota.shares_until,
             "floor": quota.guaranteed_minimum,
-            "loans": [[*pair, part] for pair, part in quota.loans.items()],
+            "loans": [[*names, share] for names, share in quota.loans.items()],
             "loans_until": quota.loans_until,
         }
         print(json.dumps(entry), file=trace, flush=True)
--- a/locktide/cluster/udp_transport.py
+++ b/locktide/cluster/udp_transport.py
@@ -16,12 +16,26 @@
 from locktide.cluster.messages import InspectionPage, InspectionRequest, decode, encode
 from locktide.cluster.reporting import Log, Reporter
 
-INSPECTION_PAGE_LENGTH = 900  # characters of ASCII: with the rest of the message it fits one datagram
-MIN_TIMER_SECONDS = 0.001  # a wakeup that is overdue must not spin
+#: Characters of ASCII in one page of an inspection: with the rest of the message it fits one datagram.
+INSPECTION_PAGE_LENGTH = 900
+#: Least time to the next wakeup, in seconds: one that is overdue must not spin.
+MIN_TIMER_SECONDS = 0.001
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class UdpTransport(asyncio.DatagramProtocol):
-    """Runs one member. Times are those of the loop's clock, the machine's monotonic one, in microseconds."""
+    """Runs one member, by the loop's clock, which is the machine's monotonic one.
+
+    Attributes:
+        transport: the socket.
+        loop: the event loop.
+        config: the configuration of the member.
+        member: the member.
+        timer: calls the member at its next wakeup.
+        rejected_datagrams: datagrams that could not be decoded.
+        reporter: writes changes to the log and the trace.
+        link: connects the member to its dispatcher; None for a member without one.
+    """
 
     transport: asyncio.DatagramTransport
 
@@ -42,7 +56,7 @@
 
     def now(self) -> int:
         """Return the time of the member's clock in whole microseconds."""
-        return int(self.loop.time() * 1e6)
+        return int(self.loop.time() * MICROSECONDS_PER_SECOND)
 
     # --- socket and timer
 
@@ -73,7 +87,7 @@
         """Set the timer to the member's next wakeup."""
         if self.timer is not None:
             self.timer.cancel()
-        wakeup = max(self.member.next_wakeup / 1e6, self.loop.time() + MIN_TIMER_SECONDS)
+        wakeup = max(self.member.next_wakeup / MICROSECONDS_PER_SECOND, self.loop.time() + MIN_TIMER_SECONDS)
         self.timer = self.loop.call_at(wakeup, self.on_timer)
 
     def send_and_report(self, outgoing: Outgoing) -> None:
@@ -104,10 +118,12 @@
             return
         view = inspect(self.member, self.now()) | {"refused_datagrams": self.rejected_datagrams}
         text = json.dumps(view)
-        length = INSPECTION_PAGE_LENGTH
-        pages = [text[start : start + length] for start in range(0, len(text), length)]
+        page_starts = range(0, len(text), INSPECTION_PAGE_LENGTH)
+        pages = [text[start : start + INSPECTION_PAGE_LENGTH] for start in page_starts]
         for index, page in enumerate(pages):
-            message = InspectionPage(request.request_id, index, len(pages), page)
+            message = InspectionPage(
+                request_id=request.request_id, page_index=index, page_count=len(pages), text=page
+            )
             self.transport.sendto(encode(self.config.member_id, message), address)
 
     async def close(self) -> None:
--- a/tests/cluster/test_borrowing.py
+++ b/tests/cluster/test_borrowing.py
@@ -13,6 +13,7 @@
 from locktide.cluster.borrowing.matching import fill_evenly, match_loans
 from locktide.cluster.quota.lease_holder import LeaseHolder
 from locktide.cluster.quota.local_quota import LocalQuota, QuotaSpec
+from locktide.cluster.quota.types import LoanKey
 from locktide.simulation.cluster import borrowing_runs
 from locktide.simulation.cluster.quota_checker import QuotaChecker
 from locktide.simulation.cluster.virtual_cluster import VirtualCluster
@@ -63,8 +64,8 @@
 
 def test_idle_quota_is_lent_and_once_its_demand_returns_lends_nothing_for_a_while() -> None:
     allocator, now = settled_allocator(), 30 * SECOND
-    assert allocator.planned_loans[1, 0] == pytest.approx(720_000, abs=9_000)
-    assert allocator.planned_loans[2, 0] == pytest.approx(720_000, abs=9_000)
+    assert allocator.planned_loans[LoanKey(1, 0)] == pytest.approx(720_000, abs=9_000)
+    assert allocator.planned_loans[LoanKey(2, 0)] == pytest.approx(720_000, abs=9_000)
     assert allocator.record_demand(1, now) and not allocator.record_demand(1, now + 1), "revoked once"
     assert (1, 0) not in allocator.planned_loans
     for step in range(1, 12):
@@ -81,9 +82,9 @@
         allocator.record_demand(1, now)
         now += SECOND // 4
         assert not allocator.replan({0: demand_of(250), 1: demand_of(20)}, [], {}, now) or step < 2
-    lent = allocator.planned_loans[1, 0]
+    lent = allocator.planned_loans[LoanKey(1, 0)]
     assert 300_000 < lent < 500_000
-    assert allocator.replan({0: demand_of(250), 1: demand_of(95)}, [], {(1, 0): lent}, now + 1) == [1]
+    assert allocator.replan({0: demand_of(250), 1: demand_of(95)}, [], {LoanKey(1, 0): lent}, now + 1) == [1]
     assert (1, 0) not in allocator.planned_loans
 
 
@@ -94,7 +95,7 @@
     # The lender is short itself now; all that it lent is still out, by the accounts.
     allocator.replan({0: demand_of(250), 1: demand_of(300)}, [], outstanding, now)
     assert not any(1 in key for key in allocator.planned_loans)
-    allocator.replan({2: demand_of(300)}, [], {(1, 0): 700_000}, now + 1)
+    allocator.replan({2: demand_of(300)}, [], {LoanKey(1, 0): 700_000}, now + 1)
     assert not any(key[0] == 0 for key in allocator.planned_loans), "what it borrowed may still be spent"
 
 
--- a/tests/cluster/test_failure_detection.py
+++ b/tests/cluster/test_failure_detection.py
@@ -4,7 +4,7 @@
 
 import random
 
-from cluster_helpers import MEMBER_RECORDS, SECOND, settled_cluster
+from cluster_helpers import MEMBER_RECORDS, SECOND, live_member, settled_cluster
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -29,18 +29,23 @@
 
 
 def test_a_death_and_a_clean_leave_become_known_to_all_and_a_restarted_member_is_alive_again() -> None:
+    """One member is killed, another leaves, and later the killed one is started again under its name.
+
+    Members that were not notified of the leave would still send it leases. The record of the killed process
+    must not outlive it: the later process has another generation and has to be alive for everybody.
+    """
     cluster = settled_cluster()
     killed, leaving = cluster.all[1], cluster.all[2]
     killed.kill()
     leaving.leave()
     cluster.run(9 * SECOND)
-    assert all("d2" not in cluster.live(name).agent.swim.alive() for name in ("d0", "d3", "d4"))
+    assert all("d2" not in live_member(cluster, name).agent.swim.alive() for name in ("d0", "d3", "d4"))
     cluster.run(20 * SECOND)
     for name in ("d0", "d3", "d4"):
-        assert cluster.live(name).agent.swim.alive() == ["d0", "d3", "d4"]
+        assert live_member(cluster, name).agent.swim.alive() == ["d0", "d3", "d4"]
     cluster.begin("d1")
     cluster.run(23 * SECOND)
-    assert cluster.live("d4").agent.swim.alive() == ["d0", "d1", "d3", "d4"]
+    assert live_member(cluster, "d4").agent.swim.alive() == ["d0", "d1", "d3", "d4"]
 
 
 def test_a_member_that_was_paused_refutes_its_suspicion_and_declares_nobody_dead() -> None:
@@ -66,11 +71,17 @@
 
 
 def test_a_member_that_has_stepped_down_is_not_woken_for_what_it_no_longer_does() -> None:
+    """A second process of a name was started, and the first one stepped down.
+
+    Its next wakeup was still that of a lease request and of its ledger, which it did not make any more. So
+    the time was always past, and the process took a whole core. What a member that has stepped down no longer
+    does must not wake it.
+    """
     cluster = VirtualCluster(3, ["d0", "d1", "d2"], ledger=random_runs.LEDGER, lend=0.5)
     for name in cluster.names:
         cluster.begin(name)
     cluster.run(4 * SECOND)
-    first = cluster.live("d1")
+    first = live_member(cluster, "d1")
     cluster.begin("d1", 9500)
     cluster.run(9 * SECOND)
     assert first.agent.stepped_down and first.agent.next_wakeup > first.clock(), "it would spin"
--- a/tests/cluster/test_fairness.py
+++ b/tests/cluster/test_fairness.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 import pytest
+from cluster_helpers import ledger_of
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -236,7 +237,7 @@
     run.world.net.lose = 0.0
     assert run.until_equal() <= 2.0
     assert run.distance() < 1e-3
-    standings = [process.agent.ledger.standing for process in run.world.all]
+    standings = [ledger_of(process).standing for process in run.world.all]
     distinct = {
         (str(standing.dominant_shares), str(standing.fair_shares), tuple(standing.order))
         for standing in standings
@@ -246,6 +247,11 @@
 
 
 def test_rows_of_a_dead_writer_count_until_its_jobs_have_ended_and_are_closed_for_all() -> None:
+    """A dispatcher is killed while its jobs run on workers, where they go on to their deadlines.
+
+    Rows dropped at once would show free capacity that is in use, and rows kept for good would count a tenant
+    as busy for ever. They must count until the last job must have ended, and then for no member any more.
+    """
     run = FairnessRun(4, 5)
     run.run(4.0)
     dead = run.world.all[0]
@@ -253,14 +259,19 @@
     dead.kill()
     run.world.run(run.world.now + 4 * SECOND)
     rest = run.world.all[1:]
-    assert all(writer in process.agent.ledger.replica.writers for process in rest), "its jobs may run"
+    assert all(writer in ledger_of(process).replica.writers for process in rest), "its jobs may run"
     run.world.run(run.world.now + 25 * SECOND)
-    assert not any(writer in process.agent.ledger.replica.writers for process in rest)
+    assert not any(writer in ledger_of(process).replica.writers for process in rest)
     run.quiet()
     assert run.until_equal() <= 2.0
 
 
-def test_writer_that_was_taken_for_dead_writes_its_rows_anew() -> None:
+def test_writer_that_was_declared_dead_writes_its_rows_anew() -> None:
+    """A dispatcher was cut off for so long that the others closed its rows, and then came back.
+
+    Its rows had not changed meanwhile, so it had nothing to write, and the others ignored its former
+    versions: its tenants would have counted as idle. It has to write all of its rows under new versions.
+    """
     run = FairnessRun(4, 5)
     run.run(4.0)
     isolated, other = run.world.all[4], run.world.all[0]
@@ -268,10 +279,10 @@
         link for name in run.world.names for link in ((isolated.name, name), (name, isolated.name))
     }
     run.world.run(run.world.now + 30 * SECOND)
-    assert isolated.agent.member_id not in other.agent.ledger.replica.writers
+    assert isolated.agent.member_id not in ledger_of(other).replica.writers
     run.world.net.cut = set()
     run.world.run(run.world.now + 25 * SECOND)
-    assert isolated.agent.member_id in other.agent.ledger.replica.writers
+    assert isolated.agent.member_id in ledger_of(other).replica.writers
     run.quiet()
     assert run.until_equal() <= 2.0
 
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -11,6 +11,7 @@
 import time
 from dataclasses import replace
 from pathlib import Path
+from typing import Any
 
 import pytest
 from helpers import Checked, HandPlayed, submission
@@ -92,7 +93,8 @@
 
     process = subprocess.Popen([*command, "serve", str(path)], stderr=subprocess.PIPE, env=environment)
     try:
-        deadline, shown = time.monotonic() + 15.0, {"parts": {"dairy": 0}}
+        deadline = time.monotonic() + 15.0
+        shown: dict[str, Any] = {"parts": {"dairy": 0}}
         while shown["parts"]["dairy"] < 910_000 and time.monotonic() < deadline:
             answer = run([*show, "--json"])
             shown = json.loads(answer.stdout) if answer.returncode == 0 else shown
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -11,42 +11,43 @@
 
 from locktide.cluster.election.proposer import Proposer
 from locktide.cluster.member import ClusterMember
-from locktide.cluster.quota import allocation as divide
-from locktide.cluster.quota import allocator as giver
-from locktide.cluster.quota import lease_holder as holder
-from locktide.cluster.quota import lease_timing as spans
-from locktide.cluster.quota import local_quota as purse
-from locktide.cluster.quota import token_bucket as bucket
-from locktide.simulation.cluster import model_checking as search
-from locktide.simulation.cluster import random_runs as days
+from locktide.cluster.quota.allocation import target_shares
+from locktide.cluster.quota.allocator import Allocator
+from locktide.cluster.quota.lease_holder import LeaseHolder
+from locktide.cluster.quota.lease_timing import MAX_CLOCK_DRIFT, SHARE_LEASE, lifetime_at_grantor
+from locktide.cluster.quota.local_quota import LocalQuota, QuotaSpec
+from locktide.cluster.quota.token_bucket import TokenBucket
+from locktide.simulation.cluster import model_checking, random_runs
 from locktide.simulation.cluster.quota_checker import QuotaChecker
 from locktide.simulation.cluster.virtual_cluster import VirtualCluster
 
-# --- budgets
+# --- quotas
 
 
-@given(st.integers(1, 10**12), st.integers(0, spans.MAX_CLOCK_DRIFT), st.integers(0, spans.MAX_CLOCK_DRIFT))
-def test_who_holds_stops_before_who_gave_whatever_their_clocks(span: int, fast: int, slow: int) -> None:
-    holder_real = span * 1_000_000 / (1_000_000 - slow)
-    giver_real = spans.lifetime_at_grantor(span) * 1_000_000 / (1_000_000 + fast)
-    assert holder_real <= giver_real
+@given(st.integers(1, 10**12), st.integers(0, MAX_CLOCK_DRIFT), st.integers(0, MAX_CLOCK_DRIFT))
+def test_holder_stops_before_grantor_whatever_the_rates_of_their_clocks(
+    span: int, fast: int, slow: int
+) -> None:
+    at_holder = span * 1_000_000 / (1_000_000 - slow)
+    at_grantor = lifetime_at_grantor(span) * 1_000_000 / (1_000_000 + fast)
+    assert at_holder <= at_grantor
 
 
 @given(st.dictionaries(st.text(max_size=5), st.integers(0, 10**6), max_size=9), st.integers(0, 10**6))
 def test_targets_never_sum_to_more_than_there_is(wants: dict[str, int], whole: int) -> None:
     for floor in (0, 1, whole // 7, 10**6):
-        found = divide.target_shares(wants, whole, floor)
+        found = target_shares(wants, whole, floor)
         assert found.keys() == wants.keys()
         assert sum(found.values()) <= whole and all(part >= 0 for part in found.values())
-        assert found == divide.target_shares(dict(reversed(wants.items())), whole, floor)
+        assert found == target_shares(dict(reversed(wants.items())), whole, floor)
 
 
 @settings(max_examples=60)
 @given(st.lists(st.tuples(st.integers(1, 400_000), st.integers(0, 3), st.integers(0, 10**6)), max_size=60))
-def test_buckets_whose_parts_move_spend_no_more_than_the_one_whole(steps: list[tuple[int, int, int]]) -> None:
+def test_buckets_whose_shares_move_spend_no_more_than_the_whole(steps: list[tuple[int, int, int]]) -> None:
     meter, now = QuotaChecker({"x": (50.0, 10.0)}), 0
     parts = [250_000] * 4
-    buckets = [bucket.TokenBucket(50.0, 10.0, part, 0) for part in parts]
+    buckets = [TokenBucket(50.0, 10.0, part, 0) for part in parts]
     for span, place, part in steps:
         now += span
         free = 1_000_000 - sum(parts) + parts[place]
@@ -58,7 +59,12 @@
     assert not meter.overruns()
 
 
-def test_a_part_goes_to_who_is_asked_and_back_within_a_lease_and_a_second_of_its_death() -> None:
+def test_share_follows_demand_and_is_free_again_within_a_lease_and_a_second_of_its_holders_death() -> None:
+    """One member gets all the demand, so that nearly the whole quota moves to it; then it is killed.
+
+    Its share cannot be returned any more. It must not be granted to others while it may be in force, and it
+    must not be lost for longer than the lease and a second.
+    """
     world = settled_cluster()
     busy = world.all[0] if world.all[0].agent.allocator is None else world.all[1]
 
@@ -71,13 +77,18 @@
     world.run(10 * SECOND)
     assert busy.agent.local_quota.shares["dairy"] > 600_000
     busy.kill()
-    world.run(10 * SECOND + spans.SHARE_LEASE + SECOND)
+    world.run(10 * SECOND + SHARE_LEASE + SECOND)
     left = [one.agent.local_quota.shares["dairy"] for one in world.all if one.alive]
     assert sum(left) > 900_000 - busy.agent.local_quota.guaranteed_minimum
     assert not world.meter.overruns()
 
 
-def test_who_divides_dies_and_nobody_falls_back_for_longer_than_it_takes_to_elect_another() -> None:
+def test_death_of_the_leader_costs_shares_only_until_another_is_elected() -> None:
+    """The leader is killed, so nobody grants leases until another member has the leader lease.
+
+    Shares may expire meanwhile. After that one member has to lead, and the shares of those alive have to be
+    nearly the whole again, without any moment at which they were more.
+    """
     world = settled_cluster()
     leader = next(one for one in world.all if one.agent.allocator is not None)
     leader.kill()
@@ -88,7 +99,12 @@
     assert not world.meter.overruns()
 
 
-def test_cut_off_from_all_a_member_has_its_floor_and_no_more_than_that() -> None:
+def test_member_that_is_cut_off_spends_its_guaranteed_minimum_and_no_more() -> None:
+    """One member loses the network for longer than any lease, also one that it granted itself as the leader.
+
+    With its former share it would spend what others have by then, and with nothing it would reject all of its
+    clients. It must have its guaranteed minimum, which needs no message.
+    """
     world = settled_cluster()
     alone = world.all[4]
     world.net.cut = {pair for name in world.names for pair in (("d4", name), (name, "d4"))}
@@ -103,12 +119,16 @@
 
 
 @pytest.mark.parametrize("late", [0, 1, 10 * SECOND])
-def test_after_its_lease_a_quota_spends_its_floor_before_anything_else_is_told_to_it(late: int) -> None:
-    """Of 100 tokens a second and a burst of 100: a floor of three tokens, and 50 more under the lease."""
-    whole, expiry = purse.QuotaSpec("dairy", 100.0, 100.0), 3 * SECOND
+def test_quota_spends_its_minimum_from_the_expiry_of_its_lease_on(late: int) -> None:
+    """A dispatcher was stopped past the expiry of its lease, and a request was the first thing to reach it.
+
+    With the tokens of its former share it would spend what others have by then. Of 100 tokens a second and a
+    burst of 100 it has a minimum of three tokens, and 50 more under the lease, which must end by the clock.
+    """
+    whole, expiry = QuotaSpec("dairy", 100.0, 100.0), 3 * SECOND
 
     def tokens_at(now: int) -> int:
-        quota = purse.LocalQuota([whole], reserve=0.15, max_processes=5, now=0)
+        quota = LocalQuota([whole], reserve=0.15, max_processes=5, now=0)
         quota.update({"dairy": 500_000}, expiry, {}, 0, 0)
         return sum(quota.spend("dairy", now) is not None for _ in range(100))
 
@@ -116,7 +136,11 @@
     assert tokens_at(expiry + late) == 3
 
 
-def test_a_process_stopped_past_its_lease_spends_its_floor_before_its_next_tick() -> None:
+def test_process_stopped_past_its_lease_spends_its_minimum_before_its_next_tick() -> None:
+    """The same in a running cluster: a process is stopped until its lease has expired, then gets requests.
+
+    Neither a message nor its timer reaches it before them. It must spend its guaranteed minimum at most.
+    """
     world = settled_cluster()
     stopped = next(process for process in world.all if process.agent.allocator is None)
     agent, rate, burst = stopped.agent, 60, 60
@@ -125,25 +149,25 @@
     stopped.pause()
     while stopped.clock() < agent.local_quota.shares_until:
         world.run(world.now + 100_000)
-    assert agent.local_quota.shares["dairy"] == held, "nothing has told it yet"
+    assert agent.local_quota.shares["dairy"] == held, "nothing has reached it that could have ended the lease"
     spent = sum(agent.spend("dairy", stopped.clock()) is not None for _ in range(rate + burst))
     assert spent <= burst * floor // 1_000_000
     assert agent.local_quota.shares["dairy"] == floor
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_day_of_faults_overruns_no_budget(seed: int) -> None:
-    told = days.play(seed)
+def test_random_run_with_faults_overruns_no_quota(seed: int) -> None:
+    told = random_runs.play(seed)
     assert not told.overruns, told.first
     assert told.led_again and told.spent
 
 
-def test_the_same_day_comes_of_the_same_seed() -> None:
-    assert days.play(2) == days.play(2)
+def test_same_seed_gives_the_same_run() -> None:
+    assert random_runs.play(2) == random_runs.play(2)
 
 
-def test_every_order_of_what_may_happen_keeps_the_promise() -> None:
-    found = search.search(4_000)
+def test_no_order_of_events_overruns_a_quota() -> None:
+    found = model_checking.search(4_000)
     assert not found.breach and found.depth >= 4
 
 
@@ -151,30 +175,30 @@
 
 
 def forgets_expiry(monkeypatch: pytest.MonkeyPatch) -> None:
-    settle = purse.LocalQuota.update
+    settle = LocalQuota.update
 
     def kept(self: Any, held: Any, shares_until: int, loans: Any, loans_until: int, now: int) -> bool:
         moved = settle(self, held, shares_until, loans, loans_until, now)
         self.shares_until = 1 << 61 if held else 0
         return moved
 
-    monkeypatch.setattr(holder.LeaseHolder, "current_shares", lambda self, now: self.shares)
-    monkeypatch.setattr(purse.LocalQuota, "expire", lambda self, now: False)
-    monkeypatch.setattr(purse.LocalQuota, "update", kept)
+    monkeypatch.setattr(LeaseHolder, "current_shares", lambda self, now: self.shares)
+    monkeypatch.setattr(LocalQuota, "expire", lambda self, now: False)
+    monkeypatch.setattr(LocalQuota, "update", kept)
 
 
 def waits_out_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin = giver.Allocator.__init__
+    begin = Allocator.__init__
 
     def eager(self: Any, *args: Any, **more: Any) -> None:
         begin(self, *args, **more)
         self.renew_only_until = 0
 
-    monkeypatch.setattr(giver.Allocator, "__init__", eager)
+    monkeypatch.setattr(Allocator, "__init__", eager)
 
 
 def doubles_the_burst(monkeypatch: pytest.MonkeyPatch) -> None:
-    move = bucket.TokenBucket.set_share
+    move = TokenBucket.set_share
 
     def brings(self: Any, part: int, now: int) -> None:
         self.refill(now)
@@ -182,7 +206,7 @@
         move(self, part, now)
         self.level += grown
 
-    monkeypatch.setattr(bucket.TokenBucket, "set_share", brings)
+    monkeypatch.setattr(TokenBucket, "set_share", brings)
 
 
 def elects_two(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -190,7 +214,7 @@
 
 
 @pytest.mark.parametrize("doubled", [False, True])
-def test_a_burst_that_moves_to_and_fro_is_not_made_anew(
+def test_burst_that_moves_between_members_is_spent_once(
     doubled: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if doubled:
@@ -205,21 +229,21 @@
 
 
 @pytest.mark.parametrize("fault", [forgets_expiry, waits_out_nothing, elects_two])
-def test_the_meter_finds_each_fault_that_is_put_in(fault: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_finds_each_injected_fault(fault: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     fault(monkeypatch)
-    assert any(days.play(seed).overruns for seed in range(40))
+    assert any(random_runs.play(seed).overruns for seed in range(40))
 
 
-def test_the_search_finds_a_giver_that_does_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_model_checking_finds_an_allocator_that_does_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     def grasping(self: Any, who: Any, budget: str, held: int, steps: bool, now: int) -> int:
         return int(self.divisible[budget])
 
-    monkeypatch.setattr(giver.Allocator, "share_for", grasping)
-    found = search.search(4_000)
+    monkeypatch.setattr(Allocator, "share_for", grasping)
+    found = model_checking.search(4_000)
     assert found.breach
 
 
-def test_the_meter_by_hand() -> None:
+def test_checker_on_a_run_made_by_hand() -> None:
     meter = QuotaChecker({"x": (10.0, 5.0)})
     meter.in_force("a", 0, {"x": 600_000}, 100, 50_000)
     meter.in_force("b", 100, {"x": 900_000}, 300, 50_000)
@@ -235,5 +259,5 @@
     assert [one.at for one in meter.overruns()] == [100_001]
 
 
-def test_an_agent_is_what_the_world_runs() -> None:
+def test_virtual_cluster_runs_the_cluster_member() -> None:
     assert VirtualCluster(1, ["d0"]).of is ClusterMember
--- a/tests/cluster_helpers.py
+++ b/tests/cluster_helpers.py
@@ -4,8 +4,9 @@
 
 from hypothesis import strategies as st
 
+from locktide.cluster.fairness.ledger import FairnessLedger
 from locktide.cluster.messages import MemberRecord, MemberState
-from locktide.simulation.cluster.virtual_cluster import VirtualCluster
+from locktide.simulation.cluster.virtual_cluster import VirtualCluster, VirtualMember
 
 SECOND = 1_000_000  # microseconds
 MEMBER_RECORDS = st.builds(
@@ -25,3 +26,17 @@
         cluster.begin(name)
     cluster.run(seconds * SECOND)
     return cluster
+
+
+def live_member(cluster: VirtualCluster, name: str) -> VirtualMember:
+    """The process of that name that is alive."""
+    process = cluster.live(name)
+    assert process is not None
+    return process
+
+
+def ledger_of(process: VirtualMember) -> FairnessLedger:
+    """The fairness ledger of a member that is configured with one."""
+    ledger = process.agent.ledger
+    assert ledger is not None
+    return ledger
