--- a/locktide/durable/completion.py
+++ b/locktide/durable/completion.py
@@ -16,8 +16,8 @@
 #: Seconds between two attempts to write a final response. Space on a full disk is freed by hand, so a
 #: shorter interval gains nothing.
 WRITE_RETRY_INTERVAL = 0.5
-#: Seconds that a stop waits for final responses that are being written. What is not written by then is
-#: found out by the next start.
+#: Seconds that a stop waits for final responses that are being written. The jobs of those that
+#: are not written by then are recovered at the next start.
 CLOSE_TIMEOUT = 2.0
 
 
@@ -77,7 +77,7 @@
     async def _write(self, record: JobFinished) -> bool:
         """Write a final response; return whether it is on the disk.
 
-        A response that cannot be written is not lost: its worker calls again, and a restart resumes the job.
+        Until it is, no client and no worker gets a response, and a restart would resume or end the job.
         """
         try:
             await self.write_ahead_log.append(record)
--- a/locktide/durable/job_context.py
+++ b/locktide/durable/job_context.py
@@ -15,7 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class JobContext:
-    """Shared by the parts of one job service."""
+    """Shared by the parts of one job service.
+
+    Attributes:
+        config: Which requests are durable jobs, and their limits.
+        write_ahead_log: The log on the disk.
+        state: The jobs, and what of them is on the disk.
+        leases: The leases of the dispatcher's attempts.
+        tasks: Runs what goes on beside the requests.
+        dispatcher: Dispatches the jobs.
+        log: The dispatcher's log.
+    """
 
     config: JobConfig
     write_ahead_log: WriteAheadLog
--- a/locktide/durable/lease_service.py
+++ b/locktide/durable/lease_service.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Awaitable
+from http import HTTPStatus
 
 from locktide.dispatcher.records import OpenAttempt
 from locktide.durable.completion import JobCompletion
@@ -87,16 +88,20 @@
         self.leases.end(job_id, attempt.fence)
         if attempt.outcome == AttemptOutcome.DONE:
             return  # the job's final response is its record
-        outcome = encode_outcome(attempt.outcome)
-        record = AttemptEnded(job_id, attempt.fence, outcome, self.dispatcher.now())
+        record = AttemptEnded(
+            job_id=job_id,
+            fence=attempt.fence,
+            outcome=encode_outcome(attempt.outcome),
+            recorded_at=self.dispatcher.now(),
+        )
         self.tasks.spawn(wait_or_lose(self.write_ahead_log.append(record)))
 
     def handle_callback(self, job: Job, callback: Callback) -> Awaitable[None] | None:
         """Apply a worker's report; return what its worker waits for, if anything."""
         report = WorkerReport(
-            job.job_id,
-            callback.worker,
-            callback.fence,
+            job_id=job.job_id,
+            worker=callback.worker,
+            fence=callback.fence,
             is_final=callback.outcome is not None,
             has_started=callback.state == names.STARTED,
         )
@@ -105,7 +110,7 @@
             return self.late_reports.record(job, callback) if report.is_final else None
         self.dispatcher.handle_callback(callback)
         if callback.outcome == AttemptOutcome.DONE:
-            self.completion.finish(job.job_id, Response(200, callback.result))
+            self.completion.finish(job.job_id, Response(HTTPStatus.OK, callback.result))
         # A worker drops a result once its callback has a response, and sends it again until then: it must
         # not get one before the result is on the disk.
         if (write := self.completion.writes.get(job.job_id)) is not None:
--- a/locktide/durable/queries.py
+++ b/locktide/durable/queries.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from http import HTTPStatus
 
 from locktide.durable.durable_state import DurableState
 from locktide.durable.responses import final_response, pending_response, unknown_job_response
@@ -23,4 +24,4 @@
         job = self.state.table.jobs[query.id]
         if not self.state.is_settled(query.id):
             return pending_response(job)
-        return replace(final_response(job), status=200)
+        return replace(final_response(job), status=HTTPStatus.OK)
--- a/locktide/durable/recovery.py
+++ b/locktide/durable/recovery.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 
 from locktide.durable.jobs import Job, JobTable
 from locktide.durable.leases import Lease, LeaseTable
@@ -10,9 +11,9 @@
 from locktide.scheduler.events import RecoveredAttempt
 
 #: Status of a job that ended before it may have run.
-REJECTED_STATUS = 503
+REJECTED_STATUS = HTTPStatus.SERVICE_UNAVAILABLE
 #: Status of a job that ended after it may have run.
-FAILED_STATUS = 502
+FAILED_STATUS = HTTPStatus.BAD_GATEWAY
 #: Microseconds that stand for a time of unknown length, longer than any deduplication window.
 UNKNOWN_SPAN = 10**15
 
--- a/locktide/durable/responses.py
+++ b/locktide/durable/responses.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+from http import HTTPStatus
 
 from locktide.durable.job_states import JOB_STATE_WORDS
 from locktide.durable.jobs import Job
@@ -25,7 +26,7 @@
         ("Preference-Applied", "respond-async"),
         ("Content-Type", "application/json"),
     ]
-    return Response(202, json.dumps(body).encode() + b"\n", headers)
+    return Response(HTTPStatus.ACCEPTED, json.dumps(body).encode() + b"\n", headers)
 
 
 def final_response(job: Job) -> Response:
@@ -39,24 +40,25 @@
 
 def rejected_response(reason: str) -> Response:
     """Return 503: the job was not accepted."""
-    return Response(503, f"denied: {reason}\n".encode(), [("Retry-After", f"{REJECTED_RETRY_AFTER:g}")])
+    headers = [("Retry-After", f"{REJECTED_RETRY_AFTER:g}")]
+    return Response(HTTPStatus.SERVICE_UNAVAILABLE, f"denied: {reason}\n".encode(), headers)
 
 
 def wait_timed_out_response(job_id: str) -> Response:
     """Return 504: the job goes on, but its client's own wait is over."""
-    return Response(504, b"it is not done yet\n", [("Location", names.JOBS + job_id)])
+    return Response(HTTPStatus.GATEWAY_TIMEOUT, b"it is not done yet\n", [("Location", names.JOBS + job_id)])
 
 
 def key_conflict_response() -> Response:
     """Return 422: the idempotency key was used for a different request."""
-    return Response(422, b"this number was used for another submission\n")
+    return Response(HTTPStatus.UNPROCESSABLE_ENTITY, b"this number was used for another submission\n")
 
 
 def id_conflict_response() -> Response:
     """Return 503: another request has this id."""
-    return Response(503, b"this id is in use\n")
+    return Response(HTTPStatus.SERVICE_UNAVAILABLE, b"this id is in use\n")
 
 
 def unknown_job_response() -> Response:
     """Return 404: no job has this id."""
-    return Response(404, b"no such job\n")
+    return Response(HTTPStatus.NOT_FOUND, b"no such job\n")
--- a/locktide/durable/resumption.py
+++ b/locktide/durable/resumption.py
@@ -40,19 +40,27 @@
         elapsed = recovery.elapsed_since(table.writer, table.last_recorded_at, clocks)
         now = self.dispatcher.now()
         steps = recovery.plan(table, self.leases, elapsed, now)
-        await self.write_ahead_log.append(WriterStarted(now, clocks.boot_id, clocks.uptime))
+        writer = WriterStarted(recorded_at=now, boot_id=clocks.boot_id, uptime=clocks.uptime)
+        await self.write_ahead_log.append(writer)
         self._log_plan(steps)
+        self._finish([step for step in steps if isinstance(step, FinishJob)])
+        self._resume_all([step for step in steps if isinstance(step, ResumeJob)])
+
+    def _finish(self, steps: Sequence[FinishJob]) -> None:
+        for step in steps:
+            response = Response(step.status, b"its time was up while no dispatcher ran\n")
+            self.completion.finish(step.job.job_id, response)
+
+    def _resume_all(self, steps: Sequence[ResumeJob]) -> None:
+        """Resume jobs that may still run at once, and the others at the configured rate.
+
+        Jobs that may still run are only waited for: they are no new load, and their workers may call at any
+        moment.
+        """
         for step in steps:
-            if isinstance(step, FinishJob):
-                response = Response(step.status, b"its time was up while no dispatcher ran\n")
-                self.completion.finish(step.job.job_id, response)
-        resumed = [step for step in steps if isinstance(step, ResumeJob)]
-        # Jobs that may still run are only waited for. They are no new load, and their workers may call at
-        # any moment.
-        for step in resumed:
             if step.pending:
                 self._resume(step)
-        self.tasks.spawn(self._resume_at_rate([step for step in resumed if not step.pending]))
+        self.tasks.spawn(self._resume_at_rate([step for step in steps if not step.pending]))
 
     def _log_plan(self, steps: Sequence[RecoveryStep]) -> None:
         contents = self.write_ahead_log.contents
--- a/locktide/protocol/submissions.py
+++ b/locktide/protocol/submissions.py
@@ -141,7 +141,7 @@
 
 def parse_affinity_key(target: str) -> int | None:
     """Return a hash of the object that the target's query names, None where it names none."""
-    query = target.partition("?")[2]
+    _, _, query = target.partition("?")
     objects = parse_qs(query).get(names.OBJECT)
     return crc32(objects[0].encode()) if objects else None
 
