--- a/locktide/durable/job_service.py
+++ b/locktide/durable/job_service.py
@@ -3,8 +3,8 @@
 What is on the disk before what: a job before it is acknowledged or dispatched, a lease before its attempt's
 first byte, a final response before its client or its worker gets a response that rests on it. A crash at
 any moment therefore leaves either a job that was never acknowledged, or one that is recovered with every
-attempt that may have run. Held by `tests/durable/test_crashes.py`, which kills dispatchers at each of these
-points.
+attempt that may have run. Held by `tests/durable/test_write_order.py` for jobs and final responses, and by
+`tests/durable/test_crashes.py`, which kills dispatchers at each of these points.
 """
 
 from __future__ import annotations
--- a/tests/durable/test_late_reports.py
+++ b/tests/durable/test_late_reports.py
@@ -2,60 +2,14 @@
 
 from __future__ import annotations
 
-from durable_helpers import SECOND, accepted_job, granted_lease, open_log, run_in_virtual_time
-
-from locktide.durable.background_tasks import BackgroundTasks
-from locktide.durable.completion import JobCompletion
-from locktide.durable.durable_state import DurableState
-from locktide.durable.job_config import JobConfig
-from locktide.durable.job_context import JobContext
-from locktide.durable.job_dispatcher import JobDispatcher
+from durable_helpers import JobParts, accepted_job, granted_lease, open_log, run_in_virtual_time
+
 from locktide.durable.jobs import Job
-from locktide.durable.late_reports import MAX_LATE_REPORTS, LateReports
-from locktide.durable.leases import LeaseConfig, LeaseTable
+from locktide.durable.late_reports import MAX_LATE_REPORTS
 from locktide.durable.log.write_ahead_log import WriteAheadLog
-from locktide.durable.waiters import JobWaiters
 from locktide.protocol.messages import Callback
 from locktide.scheduler.types import AttemptOutcome
 from locktide.simulation.virtual_time.disk import VirtualDisk
-from locktide.transport.log import Log
-
-LEASE_CONFIG = LeaseConfig(start_timeout=20 * SECOND, heartbeat_timeout=5 * SECOND)
-
-
-class StoppedDispatcher(JobDispatcher):
-    """A dispatcher whose clock does not move; nothing else of it is used."""
-
-    def __init__(self) -> None:
-        pass
-
-    def now(self) -> int:
-        """Return the time in microseconds."""
-        return SECOND
-
-
-def late_reports_of(log: WriteAheadLog) -> LateReports:
-    """Return what records the late reports of a log's jobs."""
-    state = DurableState(log.table)
-    tasks = BackgroundTasks()
-    config = JobConfig(
-        service_classes=["record"],
-        detached_timeout=SECOND,
-        retention=SECOND,
-        max_open_jobs=10,
-        resume_rate=1.0,
-        leases=LEASE_CONFIG,
-    )
-    context = JobContext(
-        config=config,
-        write_ahead_log=log,
-        state=state,
-        leases=LeaseTable(LEASE_CONFIG),
-        tasks=tasks,
-        dispatcher=StoppedDispatcher(),
-        log=Log("d0"),
-    )
-    return LateReports(context, JobCompletion(context, JobWaiters(state, tasks)))
 
 
 def final_report(worker: str) -> Callback:
@@ -80,7 +34,7 @@
     async def scenario() -> None:
         log = open_log(VirtualDisk(1, 0.001))
         job = await job_with_a_lease(log)
-        late_reports = late_reports_of(log)
+        late_reports = JobParts(log).late_reports
         write = late_reports.record(job, final_report("w0"))
         assert write is not None
         await write
@@ -103,7 +57,7 @@
     async def scenario() -> None:
         log = open_log(VirtualDisk(1, 0.001))
         job = await job_with_a_lease(log)
-        late_reports = late_reports_of(log)
+        late_reports = JobParts(log).late_reports
         for number in range(2 * MAX_LATE_REPORTS):
             write = late_reports.record(job, final_report(f"stranger{number}"))
             assert (write is not None) == (number < MAX_LATE_REPORTS)
--- /dev/null
+++ b/tests/durable/test_write_order.py
@@ -0,0 +1,128 @@
+"""What is on the disk before what: acceptance before dispatch, final response before anybody gets it."""
+
+from __future__ import annotations
+
+import asyncio
+
+from durable_helpers import SECOND, JobParts, open_log, run_in_virtual_time
+
+from locktide.protocol.messages import SubmitRequest
+from locktide.simulation.virtual_time.disk import VirtualDisk
+from locktide.transport.client_connection import Response
+
+SYNC_TIME = 0.01  # seconds
+
+
+def job_request(prefer: bytes = b"") -> SubmitRequest:
+    """Return a request for a durable job, whose client gives up after nine seconds."""
+    return SubmitRequest(
+        id="a",
+        service_class="record",
+        timeout=9 * SECOND,
+        width=1.0,
+        is_retry=False,
+        method="POST",
+        target="/record",
+        forwarded_headers=[(b"Prefer", prefer)] if prefer else [],
+        body=b"milk",
+    )
+
+
+def test_job_is_dispatched_and_acknowledged_only_once_it_is_on_the_disk() -> None:
+    """A dispatcher dies while it writes a new job.
+
+    Had the job been dispatched before, a worker might run a job that no log knows; had it been
+    acknowledged, its client would wait for a job that is lost. Neither may happen before the sync has
+    ended, and both must happen after it.
+    """
+
+    async def scenario() -> None:
+        platter = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(platter))
+        response = parts.acceptance.submit(job_request(b"respond-async"))
+        assert response is not None
+        await asyncio.sleep(0.9 * SYNC_TIME)
+        assert not parts.dispatcher.submitted and not response.done()
+        assert not parts.state.is_accepted("a")
+        assert (await response).status == 202
+        assert parts.state.is_accepted("a")
+        # The time for the disk is taken from what is left for the job.
+        assert parts.dispatcher.submitted == {"a": 100 * SECOND - round(SYNC_TIME * SECOND)}
+        platter.crash()
+        assert open_log(platter).table.jobs.keys() == {"a"}
+
+    run_in_virtual_time(scenario())
+
+
+def test_job_that_cannot_be_written_is_rejected_and_never_dispatched() -> None:
+    """The disk is full when a client submits a job.
+
+    The client must get a 503 with Retry-After rather than a promise, no worker may get the job, and the
+    same id must be accepted as a new job once there is space.
+    """
+
+    async def scenario() -> None:
+        platter = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(platter))
+        platter.room = 10
+        rejected = parts.acceptance.submit(job_request())
+        assert rejected is not None
+        response = await rejected
+        assert response.status == 503 and dict(response.headers)["Retry-After"]
+        assert not parts.dispatcher.submitted and not parts.state.table.jobs
+        platter.room = None
+        accepted = parts.acceptance.submit(job_request())
+        assert accepted is not None
+        await asyncio.sleep(2 * SYNC_TIME)
+        assert list(parts.dispatcher.submitted) == ["a"] and not accepted.done()
+
+    run_in_virtual_time(scenario())
+
+
+def test_final_response_is_sent_only_once_it_is_on_the_disk() -> None:
+    """A dispatcher dies while it writes the final response of a job.
+
+    Had its client got the response before, the restarted dispatcher would not know it, and might end the
+    same job with another one. The client must wait for the sync; after it the response must be in the log.
+    """
+
+    async def scenario() -> None:
+        platter = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(platter))
+        response = parts.acceptance.submit(job_request())
+        assert response is not None
+        await asyncio.sleep(2 * SYNC_TIME)
+        parts.completion.finish("a", Response(200, b"collected"))
+        await asyncio.sleep(0.9 * SYNC_TIME)
+        assert not response.done() and not parts.state.is_settled("a")
+        assert ((await response).status, (await response).body) == (200, b"collected")
+        platter.crash()
+        finished = open_log(platter).table.jobs["a"].finished
+        assert finished is not None and (finished.status, finished.body) == (200, b"collected")
+
+    run_in_virtual_time(scenario())
+
+
+def test_final_response_is_written_again_until_the_disk_has_space() -> None:
+    """The disk is full when a job is done, and an operator frees space two seconds later.
+
+    The worker has done the job and will not do it again, so its result must not be lost: the client must
+    get it once it could be written, and the first response must count although another one comes up
+    meanwhile.
+    """
+
+    async def scenario() -> None:
+        platter = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(platter))
+        response = parts.acceptance.submit(job_request())
+        assert response is not None
+        await asyncio.sleep(2 * SYNC_TIME)
+        platter.room = 10
+        parts.completion.finish("a", Response(200, b"collected"))
+        await asyncio.sleep(2.0)
+        assert not response.done()
+        parts.completion.finish("a", Response(502, b"terminated"))
+        platter.room = None
+        assert ((await response).status, (await response).body) == (200, b"collected")
+
+    run_in_virtual_time(scenario())
--- a/tests/durable_helpers.py
+++ b/tests/durable_helpers.py
@@ -2,18 +2,39 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 import subprocess
 import sys
 from pathlib import Path
 from typing import Any
 
+from locktide.durable.acceptance import JobAcceptance
+from locktide.durable.background_tasks import BackgroundTasks
+from locktide.durable.completion import JobCompletion
+from locktide.durable.durable_state import DurableState
+from locktide.durable.job_config import JobConfig
+from locktide.durable.job_context import JobContext
+from locktide.durable.job_dispatcher import JobDispatcher
+from locktide.durable.late_reports import LateReports
+from locktide.durable.leases import LeaseConfig, LeaseTable
 from locktide.durable.log.records import JobAccepted, LeaseGranted
 from locktide.durable.log.write_ahead_log import WriteAheadLog
+from locktide.durable.waiters import JobWaiters
 from locktide.simulation.virtual_time.disk import VirtualDisk
 from locktide.simulation.virtual_time.loop import VirtualLoop
+from locktide.transport.client_connection import Response
+from locktide.transport.log import Log
 
 SECOND = 1_000_000  # in microseconds
+JOB_CONFIG = JobConfig(
+    service_classes=["record"],
+    detached_timeout=100 * SECOND,
+    retention=SECOND,
+    max_open_jobs=10,
+    resume_rate=1.0,
+    leases=LeaseConfig(start_timeout=20 * SECOND, heartbeat_timeout=5 * SECOND),
+)
 ROOT = Path(__file__).resolve().parents[1]
 
 
@@ -87,3 +108,52 @@
             process.wait()
             assert process.stderr is not None
             process.stderr.close()
+
+
+class RecordingDispatcher(JobDispatcher):
+    """Records the jobs that it gets and never finishes one; its clock is that of the event loop.
+
+    Attributes:
+        submitted: Timeout in microseconds of each job, by its id.
+    """
+
+    def __init__(self) -> None:
+        self.submitted: dict[str, int] = {}
+
+    def now(self) -> int:
+        """Return the time in microseconds."""
+        return round(asyncio.get_running_loop().time() * SECOND)
+
+    def is_id_in_use(self, _request_id: str) -> bool:
+        """Return that no other request has the id."""
+        return False
+
+    def submit(
+        self, accepted: JobAccepted, timeout: int, _background: bool
+    ) -> asyncio.Future[Response] | None:
+        """Record a job."""
+        self.submitted[accepted.job_id] = timeout
+        return asyncio.get_running_loop().create_future()
+
+
+class JobParts:
+    """The parts of a job service on a log, with a dispatcher that only records."""
+
+    def __init__(self, log: WriteAheadLog) -> None:
+        self.log = log
+        self.state = DurableState(log.table)
+        self.dispatcher = RecordingDispatcher()
+        tasks = BackgroundTasks()
+        context = JobContext(
+            config=JOB_CONFIG,
+            write_ahead_log=log,
+            state=self.state,
+            leases=LeaseTable(JOB_CONFIG.leases),
+            tasks=tasks,
+            dispatcher=self.dispatcher,
+            log=Log("d0"),
+        )
+        self.waiters = JobWaiters(self.state, tasks)
+        self.completion = JobCompletion(context, self.waiters)
+        self.acceptance = JobAcceptance(context, self.waiters, self.completion)
+        self.late_reports = LateReports(context, self.completion)
