--- a/tests/durable/test_write_order.py
+++ b/tests/durable/test_write_order.py
@@ -6,7 +6,8 @@
 
 from durable_helpers import SECOND, JobParts, open_log, run_in_virtual_time
 
-from locktide.protocol.messages import SubmitRequest
+from locktide.protocol.messages import Callback, SubmitRequest
+from locktide.scheduler.types import AttemptOutcome
 from locktide.simulation.virtual_time.disk import VirtualDisk
 from locktide.transport.client_connection import Response
 
@@ -126,3 +127,36 @@
         assert ((await response).status, (await response).body) == (200, b"collected")
 
     run_in_virtual_time(scenario())
+
+
+def test_worker_gets_its_response_only_once_its_result_is_on_the_disk() -> None:
+    """A worker reports the result of a job, and the dispatcher dies while it writes it.
+
+    A worker drops a result once its callback has a response. Had it got one before the sync, the result
+    would be lost with the dispatcher. The same holds for the report when it is sent again meanwhile; a
+    report without a lease must neither count nor wait.
+    """
+
+    async def scenario() -> None:
+        platter = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(platter))
+        assert parts.acceptance.submit(job_request()) is not None
+        await asyncio.sleep(2 * SYNC_TIME)
+        parts.leases.grant("a", "w0", parts.dispatcher.now())
+        job = parts.state.table.jobs["a"]
+        running = Callback("a", "w9", "running", 0.5, None, b"")
+        assert parts.lease_service.handle_callback(job, running) is None and not parts.dispatcher.callbacks
+        done = Callback("a", "w0", "done", 0.0, AttemptOutcome.DONE, b"collected")
+        first = parts.lease_service.handle_callback(job, done)
+        again = parts.lease_service.handle_callback(job, done)
+        assert first is not None and again is not None
+        waiting = [asyncio.ensure_future(first), asyncio.ensure_future(again)]
+        await asyncio.sleep(0.9 * SYNC_TIME)
+        assert not any(wait.done() for wait in waiting)
+        await asyncio.gather(*waiting)
+        assert parts.dispatcher.callbacks == [done] and not job.late_reports
+        platter.crash()
+        finished = open_log(platter).table.jobs["a"].finished
+        assert finished is not None and finished.body == b"collected"
+
+    run_in_virtual_time(scenario())
--- a/tests/durable_helpers.py
+++ b/tests/durable_helpers.py
@@ -17,10 +17,12 @@
 from locktide.durable.job_context import JobContext
 from locktide.durable.job_dispatcher import JobDispatcher
 from locktide.durable.late_reports import LateReports
+from locktide.durable.lease_service import LeaseService
 from locktide.durable.leases import LeaseConfig, LeaseTable
 from locktide.durable.log.records import JobAccepted, LeaseGranted
 from locktide.durable.log.write_ahead_log import WriteAheadLog
 from locktide.durable.waiters import JobWaiters
+from locktide.protocol.messages import Callback
 from locktide.simulation.virtual_time.disk import VirtualDisk
 from locktide.simulation.virtual_time.loop import VirtualLoop
 from locktide.transport.client_connection import Response
@@ -115,10 +117,12 @@
 
     Attributes:
         submitted: Timeout in microseconds of each job, by its id.
+        callbacks: The reports of workers that have counted.
     """
 
     def __init__(self) -> None:
         self.submitted: dict[str, int] = {}
+        self.callbacks: list[Callback] = []
 
     def now(self) -> int:
         """Return the time in microseconds."""
@@ -135,6 +139,10 @@
         self.submitted[accepted.job_id] = timeout
         return asyncio.get_running_loop().create_future()
 
+    def handle_callback(self, callback: Callback) -> None:
+        """Record what a worker reports."""
+        self.callbacks.append(callback)
+
 
 class JobParts:
     """The parts of a job service on a log, with a dispatcher that only records."""
@@ -156,4 +164,6 @@
         self.waiters = JobWaiters(self.state, tasks)
         self.completion = JobCompletion(context, self.waiters)
         self.acceptance = JobAcceptance(context, self.waiters, self.completion)
+        self.leases = context.leases
         self.late_reports = LateReports(context, self.completion)
+        self.lease_service = LeaseService(context, self.completion, self.late_reports)
