--- a/locktide/durable/leases.py
+++ b/locktide/durable/leases.py
@@ -7,24 +7,21 @@
 Why a worker that was given up can neither finish a job nor make it run twice:
 
 1. A lease is on the disk before the first byte of its attempt (`lease_service`), so a restarted dispatcher
-knows each
-   attempt that may have run.
+   knows each attempt that may have run.
 2. The fencing numbers of a job only grow, also from one process to the next: `grant` starts above the last
-one in the
-   log. A number therefore names one attempt for good.
+   one in the log. A number therefore names one attempt for good.
 3. A report counts only under a lease that is known, has not ended and whose time is not over by this
-dispatcher's
-   clock, whether or not `expire` has noticed. Any other final report is recorded as late and changes nothing.
+   dispatcher's clock, whether or not `expire` has noticed. Any other final report is recorded as late and
+   changes nothing.
 4. The end of a lease does not hand the job to another worker. It ends the attempt as one that may have run,
-and the
-   scheduler sends the job again only where the service class allows it.
+   and the scheduler sends the job again only where the service class allows it.
 
-Held by `tests/durable/test_crashes.py`,
+Held in `tests/durable/test_leases.py` by `test_fencing_number_is_above_that_of_an_earlier_process` (2),
+`test_silent_worker_holds_a_job_no_longer_than_its_lease`,
+`test_report_after_the_end_of_a_lease_is_fenced_before_anybody_has_noticed` (3) and the model `LeaseModel`
+(2 and 3), and in `tests/durable/test_crashes.py` by
 `test_dispatcher_killed_at_a_crash_point_loses_and_duplicates_no_job` (1) and
-`test_hung_worker_loses_its_lease_and_its_late_report_has_no_effect` (3 and 4), and by
-`tests/durable/test_leases.py`, `LeaseModel`, `test_fencing_number_is_above_that_of_an_earlier_process` (2),
-`test_silent_worker_holds_a_job_no_longer_than_its_lease` and
-`test_report_after_the_end_of_a_lease_is_fenced_before_anybody_has_noticed` (3).
+`test_hung_worker_loses_its_lease_and_its_late_report_has_no_effect` (3 and 4).
 """
 
 from __future__ import annotations
@@ -47,8 +44,7 @@
     """How long a worker may be silent.
 
     Attributes:
-        start_timeout: Microseconds from the attempt to the report that the job has started. It is the
-            longer one, as
+        start_timeout: Microseconds from the attempt to the report that the job has started. It is longer, as
             the job may wait in the worker's queue.
         heartbeat_timeout: Microseconds between two reports on a job that has started.
     """
--- a/locktide/durable/log/records.py
+++ b/locktide/durable/log/records.py
@@ -21,9 +21,8 @@
     Attributes:
         recorded_at: The dispatcher's clock, in Unix microseconds.
         boot_id: Names the machine's run since its last boot.
-        uptime: Microseconds since that boot, at the same moment: the time elapsed is known by it although
-            the clock
-            may be set.
+        uptime: Microseconds since that boot, at the same moment. The elapsed time is known by it although the
+            clock may be set.
     """
 
     recorded_at: int
--- a/locktide/durable/log/write_ahead_log.py
+++ b/locktide/durable/log/write_ahead_log.py
@@ -3,15 +3,13 @@
 Why a record whose future is done survives any crash:
 
 1. Records are framed with length and checksum, and written in the order of `append`, in one segment at a
-time. 2. The futures of a batch are set only after a sync that began when the whole batch had been appended.
+   time.
+2. The futures of a batch are set only after a sync that began when the whole batch had been appended.
 3. A batch that could not be appended as a whole is cut off again, so that the segment ends with whole
-records. Where
-   that fails, or a sync fails, nothing is written any more: the log has failed until the dispatcher is
-   restarted.
+   records. Where that fails, or a sync fails, nothing is written any more until the dispatcher is restarted.
 4. A crash can therefore leave only the last segment with an unfinished end, and no future of that end is
-done. It is
-   cut off at the next start, which then begins a segment of its own. Any other fault is damage to records
-   that were acknowledged, and the start is refused.
+   done. It is cut off at the next start, which then begins a segment of its own. Any other fault is damage to
+   records that were acknowledged, and the start is refused.
 5. Older segments are removed only after a complete snapshot of their jobs is on the disk (`compaction`).
 
 Held by `tests/durable/log/test_write_ahead_log.py`: `test_acknowledged_records_survive_a_crash` (1, 2 and 4),
