--- a/locktide/scheduler/__init__.py
+++ b/locktide/scheduler/__init__.py
@@ -20,9 +20,18 @@
 * `WatchEndpoints(True)` asks the host to fetch the endpoint list and to follow its changes. What it fetches,
   and that a fetch failed, it reports as `EndpointListUpdate`.
 
+The four rules that every decision keeps, whatever else it costs:
+
+1. Each request gets one final answer before its deadline, and nothing after it.
+2. No effect happens twice (`policy.retry_eligibility`).
+3. A draining worker is sent nothing new (`policy.endpoint_list`).
+4. A worker that is warming up is not overloaded (`policy.slow_start`).
+
 Modules:
 
-* `events`: what a host reports; `commands`: what it has to execute.
+* `scheduler`: the `Scheduler`, which wires the policies together and hands each event to the one it concerns.
+* `events`: what a host reports; `commands`: what it has to execute; `log_events`: what it writes to the log.
 * `config`: the configuration; `types`: enumerations that the others share.
-* `policy`: every decision; `estimators`: arithmetic that chooses nothing.
+* `policy`: every decision; `state`: what the policies share, one owner a module.
+* `estimators`: arithmetic that chooses nothing.
 """
--- a/locktide/scheduler/log_events.py
+++ b/locktide/scheduler/log_events.py
@@ -13,7 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerSuspected:
-    """A worker is taken to be unhealthy: it is sent probes only, until one of them succeeds.
+    """A worker is taken to be unhealthy: it is sent probes only, until it is cleared.
+
+    `policy/outlier_detection` says what clears it. No event is written then.
 
     Attributes:
         worker: the id of the worker.
@@ -27,11 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRejected:
-    """A request was rejected at the end of its queue timeout; written at most once in five seconds.
+    """A request was rejected; written at most once in five seconds.
+
+    Either it was not sent in time, or no further attempt of it is allowed.
 
     Attributes:
         service_class: the name of its service class.
-        waited_ms: how long it waited in the pool, in milliseconds.
+        waited_ms: how long ago it arrived, in milliseconds.
         waiting: how many requests are in the pool.
         slots_in_flight: how many slots all attempts in flight take.
     """
--- a/locktide/scheduler/policy/__init__.py
+++ b/locktide/scheduler/policy/__init__.py
@@ -12,7 +12,10 @@
 once: each is drawn in the measure of its weight, from its rating, its slow-start factor and what an attempt
 there costs beside work.
 
-The policies beside it: concurrency limits, with throughputs of worker types where no ratings follow load;
-outlier detection by health records; attempt timeouts and retries for late starts and silence; slow start;
-load shedding and tenants' quotas; the endpoint list, polled at drawn moments.
+The ordinary path: `admission` and `quotas`, `rounds`, `placement` with `placement_strategy`
+(`uniform_placement`, `weighted_placement` by `load_ratings`) and `affinity`, `request_lifecycle`.
+
+Beside it: `concurrency_limit`; `slow_start`; `attempt_outcomes`, which hands what is heard of attempts to
+`outlier_detection`, `attempt_timeouts` and the retries (`retries`, `retry_eligibility`, `retry_budget`);
+`load_shedding`; `endpoint_list` and `endpoint_polling`.
 """
