--- a/locktide/durable/acceptance.py
+++ b/locktide/durable/acceptance.py
@@ -21,7 +21,7 @@
 from locktide.durable.waiters import JobWaiters
 from locktide.protocol import names
 from locktide.protocol.messages import SubmitRequest
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 
 #: Microseconds that a job is given at least, whose deadline passed while the disk was waited for: the
 #: dispatcher ends it like any other at its deadline.
--- a/locktide/durable/completion.py
+++ b/locktide/durable/completion.py
@@ -11,7 +11,8 @@
 from locktide.durable.responses import final_response
 from locktide.durable.units import MICROSECONDS_PER_SECOND
 from locktide.durable.waiters import JobWaiters
-from locktide.transport.client_connection import Response
+from locktide.protocol import names
+from locktide.transport.interfaces import Response
 
 #: Seconds between two attempts to write a final response. Space on a full disk is freed by hand, so a
 #: shorter interval gains nothing.
@@ -99,5 +100,5 @@
 
 def _retry_after(response: Response) -> int:
     """Return the advice to come back later, in microseconds; 0 for none."""
-    seconds = dict(response.headers).get("Retry-After")
+    seconds = dict(response.headers).get(names.RETRY_AFTER)
     return int(float(seconds) * MICROSECONDS_PER_SECOND) if seconds else 0
--- a/locktide/durable/job_dispatcher.py
+++ b/locktide/durable/job_dispatcher.py
@@ -11,7 +11,7 @@
 from locktide.durable.recovery import ResumeJob
 from locktide.protocol.messages import Callback, SubmitRequest
 from locktide.scheduler.events import EndpointEntry
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 
 
 class JobDispatcher:
--- a/locktide/durable/job_service.py
+++ b/locktide/durable/job_service.py
@@ -30,7 +30,7 @@
 from locktide.durable.resumption import JobResumption
 from locktide.durable.waiters import JobWaiters
 from locktide.protocol.messages import Callback, JobQuery, SubmitRequest
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 from locktide.transport.log import Log
 
 #: Seconds between two checks for leases that have run out: a tenth of the shortest useful lease.
@@ -42,7 +42,7 @@
 class JobService:
     """The dispatcher's job store, and the request handler of its listener.
 
-    Implements `dispatcher.job_store.JobStore` and `transport.request_handler.RequestHandler`. Requests of
+    Implements `dispatcher.job_store.JobStore` and `transport.interfaces.RequestHandler`. Requests of
     service classes that are not durable are forwarded to the dispatcher.
     """
 
--- a/locktide/durable/lease_service.py
+++ b/locktide/durable/lease_service.py
@@ -20,7 +20,7 @@
 from locktide.protocol import names
 from locktide.protocol.messages import Callback
 from locktide.scheduler.types import AttemptOutcome
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 
 
 class LeaseService:
--- a/locktide/durable/queries.py
+++ b/locktide/durable/queries.py
@@ -8,7 +8,7 @@
 from locktide.durable.durable_state import DurableState
 from locktide.durable.responses import final_response, pending_response, unknown_job_response
 from locktide.protocol.messages import JobQuery
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 
 
 class JobQueries:
--- a/locktide/durable/resumption.py
+++ b/locktide/durable/resumption.py
@@ -10,7 +10,7 @@
 from locktide.durable.job_context import JobContext
 from locktide.durable.log.records import WriterStarted
 from locktide.durable.recovery import ClockReading, FinishJob, RecoveryStep, ResumeJob
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 
 #: Batches of resumed jobs a second: small enough ones not to look like a burst to the workers.
 BATCHES_PER_SECOND = 20
--- a/locktide/durable/waiters.py
+++ b/locktide/durable/waiters.py
@@ -11,7 +11,7 @@
 from locktide.durable.responses import final_response, pending_response, wait_timed_out_response
 from locktide.durable.units import MICROSECONDS_PER_SECOND
 from locktide.protocol.messages import SubmitRequest
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 
 ResponseFuture = asyncio.Future[Response]
 
--- a/locktide/protocol/names.py
+++ b/locktide/protocol/names.py
@@ -23,6 +23,8 @@
 PREFER = "Prefer"  # RFC 7240
 FENCE = "Lease-Fence"  # fencing number of a durable job's lease; a worker may report it back in its callbacks
 JOB_STATE = "Job-State"
+RETRY_AFTER = "Retry-After"  # RFC 9110, in seconds
+LOCATION = "Location"
 
 #: Value of `RETRY` and of `DECLINED` that means yes.
 FLAG_SET = "1"
--- a/tests/durable/test_write_order.py
+++ b/tests/durable/test_write_order.py
@@ -9,7 +9,7 @@
 from locktide.protocol.messages import Callback, SubmitRequest
 from locktide.scheduler.types import AttemptOutcome
 from locktide.simulation.virtual_time.disk import VirtualDisk
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 
 SYNC_TIME = 0.01  # seconds
 
--- a/tests/durable_helpers.py
+++ b/tests/durable_helpers.py
@@ -25,7 +25,7 @@
 from locktide.protocol.messages import Callback
 from locktide.simulation.virtual_time.disk import VirtualDisk
 from locktide.simulation.virtual_time.loop import VirtualLoop
-from locktide.transport.client_connection import Response
+from locktide.transport.interfaces import Response
 from locktide.transport.log import Log
 
 SECOND = 1_000_000  # in microseconds
--- /dev/null
+++ b/tests/scheduler/test_retries.py
@@ -0,0 +1,135 @@
+"""Retries: which further attempts are allowed, and what they cost."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+from helpers import GRADES, listed
+
+from locktide.scheduler.config import ServiceClass
+from locktide.scheduler.events import RequestArrived
+from locktide.scheduler.policy.retry_budget import MAX_RETRY_BUDGET, RetryBudget
+from locktide.scheduler.policy.retry_eligibility import may_attempt, may_reject, repeats_until
+from locktide.scheduler.state import Attempt, Endpoint, Request
+from locktide.scheduler.types import DeduplicationScope, Effect
+
+WINDOW = 4_000_000
+SENT_AT = 1_000_000
+MAX_ATTEMPTS = 3
+
+
+def service_class(effect: Effect, scope: DeduplicationScope = DeduplicationScope.CELL) -> ServiceClass:
+    return replace(GRADES[0], effect=effect, deduplication_scope=scope, deduplication_window=WINDOW)
+
+
+def attempted_request(
+    effect: Effect, scope: DeduplicationScope = DeduplicationScope.CELL, attempts: int = 1
+) -> Request:
+    """Return a request with attempts of which each may have run."""
+    request = Request(RequestArrived(1, "view", 60_000_000), service_class(effect, scope), 0, sequence=1)
+    for number in range(attempts):
+        attempt = Attempt(request, number, Endpoint(listed("w"), concurrency_limit=1.0), SENT_AT)
+        request.attempts.append(attempt)
+        request.possibly_executed.append(attempt)
+    return request
+
+
+@pytest.mark.parametrize(
+    ("effect", "now", "is_allowed"),
+    [
+        (Effect.IDEMPOTENT, SENT_AT + 10 * WINDOW, True),
+        (Effect.IDEMPOTENT_WITH_KEY, SENT_AT + WINDOW - 1, True),
+        (Effect.IDEMPOTENT_WITH_KEY, SENT_AT + WINDOW, False),
+        (Effect.AT_MOST_ONCE, SENT_AT + 1, False),
+    ],
+)
+def test_what_may_have_run_is_sent_again_only_while_its_repeat_is_dropped(
+    effect: Effect, now: int, is_allowed: bool
+) -> None:
+    """The worker of an attempt went silent, and the request waited for another one.
+
+    By the time of the next attempt workers had forgotten its idempotency key, and the job ran a second time.
+    From the end of the deduplication window on no attempt may be allowed; at most once means none at all.
+    """
+    assert may_attempt(attempted_request(effect), now, MAX_ATTEMPTS) == is_allowed
+
+
+def test_the_deduplication_window_counts_from_the_first_attempt_that_may_have_run() -> None:
+    request = attempted_request(Effect.IDEMPOTENT_WITH_KEY, attempts=2)
+    request.attempts[1].sent_at = SENT_AT + WINDOW // 2
+    assert repeats_until(request) == SENT_AT + WINDOW
+    assert repeats_until(attempted_request(Effect.IDEMPOTENT)) == 0
+
+
+def test_attempts_are_limited_and_uncounted_ones_do_not_count() -> None:
+    request = attempted_request(Effect.IDEMPOTENT, attempts=MAX_ATTEMPTS)
+    assert not may_attempt(request, SENT_AT, MAX_ATTEMPTS)
+    request.uncounted_attempts = 1
+    assert may_attempt(request, SENT_AT, MAX_ATTEMPTS)
+
+
+@pytest.mark.parametrize(
+    ("effect", "scope", "is_harmless"),
+    [
+        (Effect.IDEMPOTENT, DeduplicationScope.CELL, True),
+        (Effect.IDEMPOTENT_WITH_KEY, DeduplicationScope.FLEET, True),
+        (Effect.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, False),
+        (Effect.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, False),
+        (Effect.AT_MOST_ONCE, DeduplicationScope.FLEET, False),
+    ],
+)
+def test_what_may_have_run_is_rejected_only_where_the_clients_retry_is_harmless(
+    effect: Effect, scope: DeduplicationScope, is_harmless: bool
+) -> None:
+    """A rejection promises the client that it may send the request again, to any dispatcher and worker.
+
+    Where a worker outside the scope of the first attempt would not drop the repeat, the client's retry would
+    run the job twice. Such a request must fail instead.
+    """
+    assert may_reject(attempted_request(effect, scope)) == is_harmless
+    assert may_reject(attempted_request(effect, scope, attempts=0))
+
+
+def retry_attempt(is_retry: bool) -> Attempt:
+    return attempted_request(Effect.IDEMPOTENT, attempts=2 if is_retry else 1).attempts[-1]
+
+
+def test_the_budget_is_used_up_by_retries_and_earned_by_successes() -> None:
+    """A part of the fleet slowed down, and every late attempt was cancelled for a retry.
+
+    The retries were late as well, so that the fleet did each job several times at its worst moment. Retries
+    beyond the budget must not be made; ten successes earn one.
+    """
+    budget = RetryBudget()
+    retry = retry_attempt(is_retry=True)
+    assert retry.is_retry
+    for _ in range(int(MAX_RETRY_BUDGET)):
+        assert budget.allows_retry()
+        budget.on_sent(retry)
+    assert not budget.allows_retry()
+    for _ in range(11):  # eleven tenths: a sum of ten tenths is a little under one
+        budget.on_success()
+    assert budget.allows_retry()
+    budget.on_sent(retry)
+    assert not budget.allows_retry()
+
+
+def test_a_retry_that_starts_promptly_or_was_never_sent_costs_nothing() -> None:
+    budget = RetryBudget()
+    retry = retry_attempt(is_retry=True)
+    for _ in range(3 * int(MAX_RETRY_BUDGET)):
+        budget.on_sent(retry)
+        budget.on_prompt_start(retry)
+        budget.on_sent(retry)
+        budget.on_unsent(retry)
+    assert budget.allows_retry()
+
+
+def test_a_first_attempt_costs_no_retry() -> None:
+    budget = RetryBudget()
+    first = retry_attempt(is_retry=False)
+    assert not first.is_retry
+    for _ in range(3 * int(MAX_RETRY_BUDGET)):
+        budget.on_sent(first)
+    assert budget.allows_retry()
