--- a/locktide/dispatcher/callbacks.py
+++ b/locktide/dispatcher/callbacks.py
@@ -49,7 +49,7 @@
     ) -> None:
         # A worker repeats a callback whose 204 was lost. One about an earlier attempt there, taken for the
         # end of this one, would allow a retry while this one runs
-        # (test_a_word_told_again_of_an_earlier_dispatch_does_not_end_the_later_one_there).
+        # (test_repeated_callback_about_an_earlier_attempt_does_not_end_the_later_one_there).
         if request.accepted_there_before(attempt):
             self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.CONNECTION_CLOSED)
         else:
--- a/locktide/dispatcher/job_sender.py
+++ b/locktide/dispatcher/job_sender.py
@@ -48,7 +48,8 @@
         time_left = request.deadline - now
         has_ended = attempt.stage is AttemptStage.ENDED or not request.is_open or time_left <= 0
         # A connection may come up only after the worker has forgotten the idempotency key of an earlier
-        # attempt: the job would run a second time (test_no_repeat_goes_out_once_it_is_no_longer_dropped).
+        # attempt: the job would run a second time
+        # (test_no_retry_is_sent_once_its_idempotency_key_may_be_forgotten).
         is_late = bool(attempt.send_before) and now >= attempt.send_before
         if has_ended or is_late or not self.endpoints.accepts_requests(attempt.worker):
             return None
--- a/locktide/dispatcher/startup.py
+++ b/locktide/dispatcher/startup.py
@@ -28,7 +28,7 @@
 
         A proxy in front keeps sending to a dispatcher that has restarted. Accepted before the list is there,
         requests were sent to workers that were draining by then
-        (test_nothing_is_accepted_before_the_list_is_had).
+        (test_nothing_is_accepted_before_the_endpoint_list_has_come).
         """
         await self.follower.wait_for_first_list()
         self.listener.listen(self.listen_address)
--- a/locktide/dispatcher/worker_replies.py
+++ b/locktide/dispatcher/worker_replies.py
@@ -40,7 +40,7 @@
         if result is TransportFailure.INVALID_RESPONSE:
             # Half a response comes from a worker that lives and may have accepted the job. Taken for its end,
             # a retry would be a second copy; so the worker is to confirm a cancellation first
-            # (test_what_a_worker_has_is_given_up_there_before_its_broken_connection_counts).
+            # (test_accepted_job_is_cancelled_at_its_worker_before_a_broken_connection_ends_it).
             self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.RESET)
             return
         outcome = worker_messages.response_outcome(result) if isinstance(result, UpstreamResponse) else result
--- a/locktide/scheduler/policy/retries.py
+++ b/locktide/scheduler/policy/retries.py
@@ -39,7 +39,7 @@
         # A request for which nobody waits would fail as soon as a few workers in a row were full, and one
         # that only workers of a lost zone may have would use up its attempts within milliseconds of refused
         # connections. Neither counts such attempts, so that it waits until a worker can have it
-        # (test_what_only_a_lost_zone_may_have_waits_for_it_and_spins_on_nothing).
+        # (test_request_confined_to_a_lost_zone_waits_for_it_without_using_up_its_attempts).
         request = attempt.request
         is_free = is_unsent and not self._config.current.retry.counts_unsent
         request.uncounted_attempts += is_free or request.is_background
--- a/locktide/transport/descriptor_budget.py
+++ b/locktide/transport/descriptor_budget.py
@@ -38,7 +38,7 @@
 
     One is evicted for each that waits, and no more. An eviction takes some turns of the loop, and connections
     become idle meanwhile, as each does that was just opened: evicted as well, they were closed with their
-    first message unread (test_one_is_evicted_for_each_that_waits_and_none_beside).
+    first message unread (test_one_connection_is_evicted_for_each_that_waits_and_no_more).
 
     Attributes:
         limit: How many descriptors there are.
@@ -109,7 +109,7 @@
         """Close an idle connection for each that waits."""
         try:
             # A connection may be closed only after what has come was read: else a request is lost that was at
-            # the socket before the eviction (test_a_message_that_has_come_goes_before_an_eviction).
+            # the socket before the eviction (test_message_that_has_come_is_read_before_an_eviction).
             await run_pending_reads()
             wanted = sum(not place.done() for place in self.waiting) - len(self.evicted)
             for _ in range(wanted):
--- a/locktide/transport/upstream_connection.py
+++ b/locktide/transport/upstream_connection.py
@@ -17,8 +17,8 @@
 #: Seconds for which a connection carries no further request after a response that ended an attempt. A worker
 #: may send a response twice, some milliseconds apart: the second would be read as the response to the next
 #: request, and a job that runs would count as rejected
-#: (test_a_connection_whose_reply_may_be_told_twice_rests_first). A 202 needs no such delay: read as the
-#: response to the next job, it says that the job may run, which is true.
+#: (test_connection_is_not_reused_while_its_response_may_be_sent_twice). A 202 needs no such delay: read as
+#: the response to the next job, it says that the job may run, which is true.
 DUPLICATE_RESPONSE_WINDOW = 0.05
 
 
--- a/locktide/transport/upstream_stream.py
+++ b/locktide/transport/upstream_stream.py
@@ -33,7 +33,7 @@
 
     `StreamWriter.drain` returns some turns later. An end or a cancellation of the same turn would come first,
     and a message that the worker has whole would count as never sent
-    (test_the_last_byte_counts_in_the_turn_in_which_the_kernel_takes_it).
+    (test_attempt_is_sent_in_the_loop_turn_in_which_the_kernel_takes_its_last_byte).
     """
 
     on_drained: Callable[[], None] | None = None
--- a/tests/dispatcher/test_attempts.py
+++ b/tests/dispatcher/test_attempts.py
@@ -41,7 +41,7 @@
     run_story(story)
 
 
-def test_reply_that_never_comes_is_given_up_after_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reply_that_never_comes_times_out_after_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     """A worker reports by callback that a job is done, and never replies to the request that brought it.
 
     The connection and the task that reads it would stay for ever. The task must end a second after the
--- a/tests/dispatcher/test_cancellation.py
+++ b/tests/dispatcher/test_cancellation.py
@@ -35,10 +35,11 @@
     return asked
 
 
-async def fail_tries(play: HandPlayed, times: int) -> None:
+async def fail_sends(play: HandPlayed, times: int) -> None:
     for _ in range(times):
-        while play.asked[-1].ended.done():
-            await asyncio.sleep(0.001)
+        async with asyncio.timeout(10.0):  # where nothing is sent any more, the test fails and does not hang
+            while play.asked[-1].ended.done():
+                await asyncio.sleep(0.001)
         assert play.asked[-1].build() is not None
         play.asked[-1].end(AttemptOutcome.NO_CONNECTION)
         await play.settle()
@@ -56,7 +57,7 @@
         play = HandPlayed()
         # Of real time: long enough that a busy machine ends no try by its timeout, which would count as one.
         await start_and_cancel(play, connect_within=40_000)
-        await fail_tries(play, 8)
+        await fail_sends(play, 8)
         while play.asked[-1].ended.done():
             await asyncio.sleep(0.001)
         assert play.outcomes() == [] and len(play.asked) == 10 and play.asked[-1].fresh
@@ -92,7 +93,7 @@
     asyncio.run(run())
 
 
-def test_before_the_202_the_attempt_ends_after_the_first_tries() -> None:
+def test_before_the_202_the_attempt_ends_after_the_immediate_sends() -> None:
     """Before the 202 the closed connection cancels a job by itself, and the message is for a 202 that is on
     its way. A worker that cannot be reached must not keep the request from its retry then: the attempt
     ends with the immediate sends.
@@ -102,13 +103,13 @@
         play = HandPlayed()
         asked = await start_and_cancel(play, accepted=False)
         assert asked.cancelled
-        await fail_tries(play, IMMEDIATE_SENDS)
+        await fail_sends(play, IMMEDIATE_SENDS)
         assert play.outcomes() == [AttemptOutcome.CANCELLED]
 
     asyncio.run(run())
 
 
-def test_callback_or_deadline_ends_the_tries() -> None:
+def test_callback_or_deadline_ends_the_delivery() -> None:
     """The cancellation of an accepted attempt is repeated for as long as the worker cannot be reached.
 
     Once a callback has ended the attempt, or the client's time is over, nothing depends on it any more. The
@@ -119,7 +120,7 @@
         for word in ("done", ""):
             play = HandPlayed()
             asked = await start_and_cancel(play)
-            await fail_tries(play, IMMEDIATE_SENDS)
+            await fail_sends(play, IMMEDIATE_SENDS)
             if word:
                 play.call("a", asked.worker, word, b"result")
             else:
@@ -139,7 +140,7 @@
 
 
 @pytest.mark.parametrize("accepted", [False, True])
-def test_cancelled_attempt_ends_once_its_worker_has_answered_before_and_after_the_202(accepted: bool) -> None:
+def test_cancelled_attempt_ends_once_its_worker_has_replied_before_and_after_the_202(accepted: bool) -> None:
     """A client leaves while its job is on its way to a worker, and the 202 may be on its way back.
 
     What was sent elsewhere before the worker's reply was a second copy. Before and after the 202, the
@@ -238,7 +239,7 @@
         return data.decode().splitlines()[0]
 
 
-def test_on_sockets_no_retry_before_a_returned_worker_has_been_told(tmp_path: Path) -> None:
+def test_on_sockets_no_retry_before_a_worker_that_is_back_is_notified(tmp_path: Path) -> None:
     """A worker process accepts a job, cannot be reached for a while, and comes back with the job.
 
     Sent to another worker meanwhile, the job would run twice at the same time. On real sockets, the retry
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("go", [socket.socket.close, lambda client: client.shutdown(socket.SHUT_WR)])
-def test_what_is_read_once_its_client_has_gone_is_not_begun(go: Callable[[socket.socket], None]) -> None:
+def test_request_read_after_its_client_has_gone_is_not_begun(go: Callable[[socket.socket], None]) -> None:
     """A client sends a request and closes its connection before the process has read either.
 
     The job would run for nobody. What is read after the end was seen must not be begun.
@@ -143,7 +143,7 @@
 # --- our side of a client's connection
 
 
-def test_an_answer_that_is_last_outlives_what_the_client_still_writes() -> None:
+def test_last_response_reaches_a_client_that_still_writes() -> None:
     """A dispatcher that is stopping writes its last response while the client still writes.
 
     A socket that is closed altogether answers that with a reset, and the kernel drops what the client has
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("first", ["bytes", "stop"])
-def test_a_request_that_crosses_a_stop_is_served_or_never_sent_on(first: str) -> None:
+def test_request_that_crosses_a_stop_is_served_or_never_forwarded(first: str) -> None:
     """A request crosses the stop of the dispatcher on an idle connection.
 
     Where its bytes come first, it must be served. Where the stop comes first, the connection must end
@@ -208,7 +208,7 @@
     served(story)
 
 
-def test_a_lingering_connection_ends_in_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lingering_connection_is_closed_after_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client that never ends its side would keep a lingering connection open, and a stop waits for that.
 
     The connection must be closed when its time to linger is over.
@@ -232,7 +232,7 @@
 # --- descriptors
 
 
-def test_one_is_evicted_for_each_that_waits_and_none_beside() -> None:
+def test_one_connection_is_evicted_for_each_that_waits_and_no_more() -> None:
     """One connection waited for a descriptor, and an eviction takes some turns of the event loop.
 
     What became idle meanwhile, as each new connection does, was closed too, with its first message unread.
@@ -258,7 +258,7 @@
     asyncio.run(run())
 
 
-def test_a_message_that_has_come_goes_before_an_eviction() -> None:
+def test_message_that_has_come_is_read_before_an_eviction() -> None:
     """All descriptors are in use and a new connection waits.
 
     The connection that has been idle longest has its next request at the socket already, and would lose it
@@ -284,7 +284,7 @@
     served(story, places=2)
 
 
-def test_idle_clients_that_fill_the_descriptors_shut_out_neither_callbacks_nor_clients() -> None:
+def test_idle_clients_that_fill_the_descriptors_keep_out_neither_callbacks_nor_clients() -> None:
     """Connections that send nothing fill the descriptors and go on coming.
 
     Workers could not call back and clients could not send until those time out. Callbacks and requests must
@@ -312,7 +312,7 @@
     served(story, places=8)
 
 
-def test_a_stop_waits_for_a_connection_that_waits_for_its_place() -> None:
+def test_stop_waits_for_a_connection_that_waits_for_its_descriptor() -> None:
     """A connection is accepted and waits for a descriptor when the dispatcher is stopped, and nothing else
     is owed. An exit then would lose the request on it. The stop must count it as work that is not
     finished.
@@ -338,7 +338,7 @@
 # --- a start
 
 
-def test_nothing_is_accepted_before_the_list_is_had() -> None:
+def test_nothing_is_accepted_before_the_endpoint_list_has_come() -> None:
     """A dispatcher died and came back, and the proxy in front sent requests to it at once.
 
     They were sent to workers by the list from before. The listening socket must not open before the list has
@@ -380,7 +380,7 @@
 # --- a dispatch
 
 
-def test_the_last_byte_counts_in_the_turn_in_which_the_kernel_takes_it(
+def test_attempt_is_sent_in_the_loop_turn_in_which_the_kernel_takes_its_last_byte(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An attempt was cancelled in the very loop turn in which the kernel took its last byte.
@@ -427,7 +427,7 @@
 
 
 @pytest.mark.parametrize("status, meets", [(202, 1), (204, 2), (503, 2)])
-def test_a_connection_whose_reply_may_be_told_twice_rests_first(status: int, meets: int) -> None:
+def test_connection_is_not_reused_while_its_response_may_be_sent_twice(status: int, meets: int) -> None:
     """A worker sent its 503 twice, some milliseconds apart.
 
     The second was read as the response to the next job on that connection, which ran. A connection must rest
@@ -463,7 +463,7 @@
 
 
 @pytest.mark.parametrize("first", ["callback", "break", "refusal"])
-def test_what_a_worker_has_is_given_up_there_before_its_broken_connection_counts(first: str) -> None:
+def test_accepted_job_is_cancelled_at_its_worker_before_a_broken_connection_ends_it(first: str) -> None:
     """A worker calls back about a job, or sends half a response, and then its connection breaks or it
     refuses the job. Neither says that the job has ended: a retry on the strength of it is a second copy.
     The worker must confirm a cancellation first; then the break counts.
@@ -488,7 +488,7 @@
     played(story)
 
 
-def test_a_word_told_again_of_an_earlier_dispatch_does_not_end_the_later_one_there() -> None:
+def test_repeated_callback_about_an_earlier_attempt_does_not_end_the_later_one_there() -> None:
     """The 204 to a callback was lost, so the worker sent 'returned' again, while a later attempt of the same
     request was there. The repeated callback ended the later one: what ran by then counted as never run. A
     callback that may be about either attempt must not end the later one before its worker has confirmed a
@@ -521,7 +521,7 @@
     played(story)
 
 
-def test_no_repeat_goes_out_once_it_is_no_longer_dropped() -> None:
+def test_no_retry_is_sent_once_its_idempotency_key_may_be_forgotten() -> None:
     """A retry with an idempotency key is commanded in time, and its connection comes up late.
 
     By then the worker has forgotten the key of the first attempt and would run the job again. Past that time
@@ -549,7 +549,7 @@
 
 
 @pytest.mark.parametrize("when", ["ordered", "sent"])
-def test_a_reload_leaves_what_is_open_its_grade_and_its_memory_span(when: str) -> None:
+def test_reload_leaves_an_open_request_its_service_class_and_deduplication_window(when: str) -> None:
     """A reload may change the effect, the deduplication window and the timeout of a service class while a
     request of it is open. Judged by the new class, the request could not be retried, or would be repeated
     too late. It must keep the class with which it came, whether its attempt was sent before the reload or
@@ -591,7 +591,7 @@
 @pytest.mark.parametrize(
     "kind, most", [(ListUpdateKind.FETCH_TIMED_OUT, 2_000_000), (ListUpdateKind.FETCH_FAILED, 4_000_000)]
 )
-def test_after_a_call_that_failed_the_next_comes_before_a_change_counts_as_told(
+def test_after_a_failed_call_the_next_comes_before_a_change_counts_as_notified(
     kind: ListUpdateKind, most: int
 ) -> None:
     """Where discovery is polled, four polling intervals were allowed after a call that failed, and used.
@@ -614,7 +614,7 @@
                 assert service.now - failed_at <= most
 
 
-def test_a_call_that_is_not_heard_is_given_up_in_half_the_time_in_which_a_change_counts_as_told() -> None:
+def test_call_without_response_times_out_in_half_the_time_after_which_a_change_counts_as_notified() -> None:
     """Discovery is down, and a call to it may wait its turn for some seconds.
 
     Waited for as long as that, a change would count as notified before the next call is made. A call without
@@ -655,7 +655,7 @@
 
 
 @pytest.mark.parametrize("where", ["queue_timeout", "draw"])
-def test_a_fault_in_the_decisions_costs_the_submission_on_which_it_shows_alone(where: str) -> None:
+def test_exception_in_the_scheduler_fails_only_the_request_on_which_it_shows(where: str) -> None:
     """An exception in the scheduler could end its step, and with it the events of every other request in it:
     their clients would wait until the deadline. Only the request on which the fault shows may end, with
     502 at once.
@@ -684,7 +684,7 @@
     played(story)
 
 
-def test_a_fault_at_a_timer_of_the_decisions_costs_its_submission_alone() -> None:
+def test_exception_at_a_timer_of_the_scheduler_fails_only_its_request() -> None:
     """An exception in the scheduler at the timer of an attempt leaves a request that nothing would end
     before its deadline. The request must get its 502 at once, and the worker a cancellation.
     """
@@ -711,7 +711,7 @@
     played(story)
 
 
-def test_a_round_that_fails_and_a_part_that_fails_cost_no_submission() -> None:
+def test_exception_in_a_round_or_an_observer_fails_no_request() -> None:
     """An exception in a placement round, or in an observer such as the cluster's, could stop the handling of
     events, and requests in the pool would never be placed. The next round must place them, and the fault
     of the observer is logged only.
@@ -739,7 +739,9 @@
     played(story)
 
 
-def test_an_order_that_fails_costs_itself_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_command_that_fails_does_not_keep_the_others_from_being_executed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """One command of a step fails with an exception.
 
     If the step ended there, the commands after it would be lost, and with them the attempts of other
--- a/tests/dispatcher/test_list_notifications.py
+++ b/tests/dispatcher/test_list_notifications.py
@@ -42,7 +42,7 @@
         writer.close()
 
 
-def test_after_an_outage_what_the_agent_has_is_known_before_a_drain_is_old() -> None:
+def test_after_an_outage_a_drain_is_known_within_its_grace() -> None:
     """An agent is silent for a while and comes back with a drain.
 
     A call that met the silence is never answered, and the drain would become known too late. While the agent
@@ -70,7 +70,7 @@
     asyncio.run(run())
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_also_where_calls_wait_their_turn(
+def test_watch_that_falls_silent_is_opened_again_also_where_calls_wait_their_turn(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Where calls wait their turn, the first response on a connection may take long.
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("silent", [False, True])
-def test_a_new_process_serves_once_it_knows_what_its_agent_has(silent: bool) -> None:
+def test_new_process_serves_once_it_has_the_list_of_its_agent(silent: bool) -> None:
     """The cached list of a new process may be old: workers in it may have begun to drain, and what the agent
     has counts as notified. The process must be ready only once it has the agent's list. A silent agent
     does not hold it up: the cached list is all there is then.
@@ -131,7 +131,7 @@
     asyncio.run(run())
 
 
-def test_a_stop_answers_what_comes_on_a_connection_that_was_just_opened(tmp_path: Path) -> None:
+def test_stop_responds_to_a_request_on_a_connection_that_was_just_opened(tmp_path: Path) -> None:
     """A client opened a connection after SIGTERM and sent its request some time later.
 
     The stop had ended by then and closed the connection without a response. The stop must wait for a
--- a/tests/dispatcher/test_many_dispatchers.py
+++ b/tests/dispatcher/test_many_dispatchers.py
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("told_within", [0, 6_000_000])
 @pytest.mark.parametrize("seed", range(5))
-def test_forty_that_start_together_all_get_the_list(seed: int, told_within: int) -> None:
+def test_forty_dispatchers_that_start_together_all_get_the_list(seed: int, told_within: int) -> None:
     """A release killed 28 of 40 at once: all asked at once, again and again, and hardly one was told."""
     service = CallCapacity(150_000, 2_000_000)
     events: list[tuple[int, int, Event]] = []
@@ -66,7 +66,9 @@
 
 
 @pytest.mark.parametrize(("warm", "cold", "submissions"), [(30, 30, 3), (0, 10, 20)])
-def test_forty_together_warm_cold_workers_and_push_none_over(warm: int, cold: int, submissions: int) -> None:
+def test_forty_dispatchers_together_warm_up_new_workers_and_overload_none(
+    warm: int, cold: int, submissions: int
+) -> None:
     """Six in ten workers were new: they idled for seconds, as each was drawn for by itself, while the old
     ones had queues of ten; and where there are only cold ones, all together keep to half of what they bear.
     """
@@ -88,7 +90,7 @@
     assert sum(got.values()) <= 0.55 * cold * bears and max(got.values()) <= bears
 
 
-def test_what_only_a_lost_zone_may_have_waits_for_it_and_spins_on_nothing() -> None:
+def test_request_confined_to_a_lost_zone_waits_for_it_without_using_up_its_attempts() -> None:
     """Requests confined to a cell of a lost zone used up their three attempts in 4 ms and failed.
 
     They must wait for the zone, with a few attempts a second at each worker, and be done once it is back.
@@ -117,7 +119,7 @@
     assert service.answered[1] == "done"
 
 
-def test_on_sockets_only_what_was_sent_counts_among_the_dispatches() -> None:
+def test_on_sockets_only_attempts_that_were_sent_count_towards_the_limit() -> None:
     """On sockets, a connection that does not come up fails within milliseconds.
 
     If such attempts counted towards the most attempts of a request, three unreachable workers would end it
@@ -170,7 +172,7 @@
 AFTER = names.INSTANCES + "?after=%d&wait_ms=1000"
 
 
-def test_where_calls_are_work_the_decisions_say_when_and_only_what_was_missed_is_asked_for() -> None:
+def test_where_the_list_is_polled_the_scheduler_times_the_calls_and_only_changes_are_fetched() -> None:
     """A call to discovery that failed was made again each tenth of a second, by all dispatchers, for the
     whole list. Where calls are work for one service, the scheduler must say when the next one is made,
     and it asks only for what changed since the version that is held.
@@ -206,7 +208,7 @@
     asyncio.run(run())
 
 
-def test_a_remembered_version_that_this_discovery_has_not_reached_is_given_up() -> None:
+def test_cached_version_that_discovery_has_not_reached_is_dropped() -> None:
     """A dispatcher starts with a cached list of version 41, and discovery counts from 3.
 
     Asked for changes since 41, it has none for a long time. A lower version must make the watch fetch the
@@ -233,7 +235,7 @@
     asyncio.run(run())
 
 
-def test_an_answer_before_its_time_that_brings_nothing_makes_no_storm() -> None:
+def test_early_response_without_changes_is_followed_by_a_delay() -> None:
     """An agent responds at once, with nothing, where it should hold the call for a second.
 
     The watch would call it in a busy loop. A call that brings nothing before its time must be followed by a
@@ -253,7 +255,7 @@
     asyncio.run(run())
 
 
-def test_discovery_that_never_answers_is_called_when_the_decisions_say_and_holds_nothing_up(
+def test_silent_discovery_is_called_when_the_scheduler_commands_it_and_delays_no_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Discovery never responds.
@@ -288,7 +290,7 @@
     asyncio.run(run())
 
 
-def test_an_emulated_roster_that_must_be_asked_is_not_stormed_by_restarts() -> None:
+def test_restart_of_all_dispatchers_does_not_overload_a_polled_discovery() -> None:
     """The roster takes a call in 0.3 s and turns away what waits over 2 s; all eight are killed at once."""
     rough = script.parse("""
         length = 12.0
@@ -311,7 +313,7 @@
     assert calls[-1] <= 30, "two starts of eight, and a few that were turned away"
 
 
-def test_a_reload_asks_the_new_address_for_the_whole_list_at_once_and_after_a_failure_when_told() -> None:
+def test_reload_fetches_the_whole_list_at_once_and_after_a_failure_on_command() -> None:
     """A reload names a new discovery address, whose versions are its own.
 
     Asked for changes since the old version, it could leave the dispatcher with the old list. The whole list
@@ -339,7 +341,7 @@
     asyncio.run(run())
 
 
-def test_a_worker_replaced_under_the_same_address_gets_nothing_meant_for_the_old_one() -> None:
+def test_worker_that_replaces_another_at_its_address_gets_no_job_meant_for_it() -> None:
     """A worker is replaced by another process at the same address.
 
     Idle connections of the old worker lead to the new one, which would get jobs under a wrong name. They
@@ -359,7 +361,7 @@
     asyncio.run(run())
 
 
-def test_a_stop_while_discovery_says_nothing_finishes_what_was_taken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stop_while_discovery_is_silent_finishes_the_open_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     """The dispatcher is stopped while a call to discovery has no response.
 
     It could exit with a request open, or wait for the call for ever. The open request must get its response
--- a/tests/dispatcher/test_process.py
+++ b/tests/dispatcher/test_process.py
@@ -51,7 +51,7 @@
         listening.close()
 
 
-def test_sighup_reads_discovery_anew_and_a_faulty_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_follows_the_new_discovery_address_and_a_faulty_file_changes_nothing(tmp_path: Path) -> None:
     """The settings file changes while the process serves.
 
     At SIGHUP it must follow the list at the new address, which has versions of its own. A faulty file must
--- a/tests/dispatcher/test_requests.py
+++ b/tests/dispatcher/test_requests.py
@@ -99,7 +99,7 @@
     run_story(story)
 
 
-def test_request_with_an_id_that_is_open_or_was_answered_is_not_taken() -> None:
+def test_request_with_an_id_that_is_in_use_or_was_is_not_accepted() -> None:
     """A client sends a second request under the id of one that is open or had its response lately.
 
     The worker may still know the id, and would take one job for the other. Such a request must not be
--- a/tests/transport/test_endpoint_watch.py
+++ b/tests/transport/test_endpoint_watch.py
@@ -22,7 +22,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-def test_silent_discovery_is_called_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_discovery_is_called_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """An agent falls silent in the middle of a call.
 
     It must be called again, without a wait, from the version that is held; and what brings nothing then is
--- a/tests/transport/test_upstream_pool.py
+++ b/tests/transport/test_upstream_pool.py
@@ -72,7 +72,7 @@
     asyncio.run(run())
 
 
-def test_connection_that_does_not_come_up_is_no_connection_and_gives_back_its_place() -> None:
+def test_connection_that_does_not_come_up_is_no_connection_and_returns_its_descriptor() -> None:
     """Connections to a worker that does not listen could keep their descriptors until none is left.
 
     Each must give its descriptor back, and the attempt has no connection. Where no descriptor comes free in
