--- a/locktide/scheduler/policy/attempt_outcomes.py
+++ b/locktide/scheduler/policy/attempt_outcomes.py
@@ -1,8 +1,8 @@
 """Attempt outcomes: which policy learns what from each event of an attempt, from its sending to its end.
 
-Nothing is decided here. Starts and ends go to the concurrency limit, the retry budget and the attempt
-timeouts, signs of health to outlier detection, run times to the estimates; then the request of an attempt
-that has ended goes on its way (`request_lifecycle`).
+It decides nothing about the request; it says what counts as what. Starts and ends go to the concurrency
+limit, the retry budget and the attempt timeouts, signs of health to outlier detection, run times to the
+estimates; then the request of an attempt that has ended goes on its way (`request_lifecycle`).
 """
 
 from dataclasses import dataclass
@@ -100,6 +100,7 @@
         self.limiter.back_off(endpoint, self.clock.now - attempt.sent_at)
         self.endpoint_list.close_idle_connections(endpoint)
         if outcome not in UNINFORMATIVE:
+            # An end without a result counts as a late start, also that of an attempt which we cancelled.
             self._on_first_sign(attempt, is_prompt=outcome == DONE)
         endpoint.unstarted.pop(attempt, None)
 
--- a/locktide/scheduler/policy/outlier_detection.py
+++ b/locktide/scheduler/policy/outlier_detection.py
@@ -160,8 +160,8 @@
         endpoint = attempt.endpoint
         endpoint.last_heard_at = now
         endpoint.successes.add(1.0, now)
-        # A worker that has come back must not stay suspected for the failures of its outage: two successes
-        # outweigh one failure (test_a_success_halves_the_recorded_failures_of_a_worker).
+        # A worker that has come back must not stay suspected for the failures of its outage. One success
+        # clears one failure, two clear two (test_a_success_halves_the_recorded_failures_of_a_worker).
         endpoint.failures.add(-FAILURES_LOST_BY_SUCCESS * endpoint.failures.read(now), now)
         for failed_at in attempt.request.error_endpoints:
             self._endpoint_errors.add(1.0, now)
--- a/locktide/scheduler/policy/retries.py
+++ b/locktide/scheduler/policy/retries.py
@@ -63,7 +63,7 @@
         """Let the request wait before its next attempt, after a worker was full."""
         # While every worker is full, a request would otherwise use up its attempts in a small part of its
         # queue timeout and fail, though a worker has capacity soon after
-        # (test_full_workers_do_not_use_up_every_attempt_at_once).
+        # (test_a_request_that_was_refused_as_full_pauses_before_its_next_attempt).
         timeout = self._shedder.queue_timeout(request)
         request.not_before = self._clock.now + timeout // self._config.current.retry.max_attempts
 
--- a/locktide/scheduler/policy/retry_budget.py
+++ b/locktide/scheduler/policy/retry_budget.py
@@ -1,9 +1,12 @@
-"""Retry budget: how many retries may cancel an attempt, so that retries never add to an overload.
+"""Retry budget: how many attempts in doubt may be cancelled for a retry.
 
 The budget is a count of retries. Each retry that is sent takes one. A retry that starts promptly has found
 a better place and returns its one. Each success earns a tenth, so that in the long run at most a tenth of
 what succeeds is followed by retries that gain nothing. While the budget is under one, attempts in doubt are
 left to themselves.
+
+A retry after an attempt that has ended by itself, as by a reset, takes one as well but is never held back,
+so the count may go below zero.
 """
 
 from locktide.scheduler.state import Attempt
--- a/locktide/scheduler/policy/rounds.py
+++ b/locktide/scheduler/policy/rounds.py
@@ -29,7 +29,9 @@
 )
 
 #: Intervals between two rounds while all that wait were sent before, in a sparse fleet. Such requests are few
-#: and seldom find a place; most of the CPU would be spent on draws for them.
+#: and seldom find a place; most of the CPU would be spent on draws for them. As it is more than
+#: `load_shedding.ROUNDS_BEFORE_DEADLINE`, such a request may be given up after its deadline, by the
+#: difference in intervals; the host's own timeout has to allow for that.
 SLOW_ROUND_INTERVALS = 4
 #: In a sparse fleet the endpoints with capacity are counted only for a pool of more than this part of the
 #: ready endpoints, as a divisor: for a shorter pool the count costs more CPU than the draws that it may save.
--- a/locktide/scheduler/policy/slow_start.py
+++ b/locktide/scheduler/policy/slow_start.py
@@ -112,6 +112,7 @@
         self._sent.add(need, now)
 
     def _need(self, endpoint: Endpoint, request: Request) -> float:
+        # The size that ratings state counts as slots, where it is more than was seen running there.
         slots = max(self._estimates.slots_per_endpoint, endpoint.capacity)
         return self._estimates.expected_work(request) / slots
 
--- a/locktide/scheduler/state/list_update.py
+++ b/locktide/scheduler/state/list_update.py
@@ -37,7 +37,10 @@
 
 
 def _merge_entry(endpoints: dict[WorkerId, Endpoint], entry: EndpointEntry, concurrency_limit: float) -> bool:
-    """Merge one entry; return whether it changed more than the rating."""
+    """Merge one entry; return whether the endpoint is new, or has another state or start time.
+
+    Where both are as before nothing is taken over: a worker keeps the zone, cell and type of its start.
+    """
     endpoint = endpoints.get(entry.worker)
     if endpoint is None:
         endpoints[entry.worker] = Endpoint(entry, concurrency_limit)
