--- a/locktide/bench_adapter/line.py
+++ b/locktide/bench_adapter/line.py
@@ -76,7 +76,7 @@
 
 
 def read_choice(choices: Mapping[str, Choice], fields: Fields, name: str) -> Choice:
-    """Return what the value of a field, one of the words of a table, stands for."""
+    """Return the member of a table that the value of a field means."""
     try:
         return choices[fields[name]]
     except KeyError as error:
--- a/locktide/cluster/bootstrap.py
+++ b/locktide/cluster/bootstrap.py
@@ -29,7 +29,7 @@
 def cluster_config(installation: Installation) -> ClusterConfig:
     """Return the configuration of this process's member: one quota for each tenant.
 
-    The generation, the time of the start, tells this process from any other of its name.
+    The generation, the time of the start, distinguishes this process from any other of its name.
 
     Raises:
         ConfigError: an address is malformed.
--- a/locktide/cluster/dispatcher_link.py
+++ b/locktide/cluster/dispatcher_link.py
@@ -1,4 +1,4 @@
-"""Connects a cluster member to its dispatcher: demand goes in, quota shares come out."""
+"""Connects a cluster member to its dispatcher, whose demand it reports and whose scheduler it updates."""
 
 from __future__ import annotations
 
@@ -76,8 +76,8 @@
     def on_event(self, event: object) -> None:
         """Take in an event or command of the dispatcher.
 
-        What clients request is the demand that the allocation follows, and what they hold of the workers goes
-        into the ledger.
+        What clients request is the demand that the allocation follows, and what they use of the workers is
+        counted in the ledger.
         """
         if type(event) is ConfigReloaded:
             # The scheduler has begun with new shares, and has to be notified of those in force once more.
--- a/locktide/cluster/inspection_client.py
+++ b/locktide/cluster/inspection_client.py
@@ -1,4 +1,4 @@
-"""Asks a member on this machine for its view of the cluster, over UDP."""
+"""Requests a member's view of the cluster from a member on this machine, over UDP."""
 
 from __future__ import annotations
 
--- a/locktide/cluster/quota/allocation_planner.py
+++ b/locktide/cluster/quota/allocation_planner.py
@@ -56,7 +56,7 @@
         self.borrowing_order: list[QuotaIndex] = []
 
     def invalidate(self) -> None:
-        """Plan anew the next time that a target is asked for."""
+        """Plan anew before the next target is returned."""
         self.planned_at = LONG_AGO
 
     def target(self, member_id: MemberId, quota: QuotaIndex, now: int, may_lend: bool) -> int:
--- a/locktide/cluster/quota/lease_holder.py
+++ b/locktide/cluster/quota/lease_holder.py
@@ -101,7 +101,7 @@
         self.next_request_at = min(self.next_request_at, earliest)
 
     def next_request(self, demand: QuotaDemand, now: int) -> LeaseRequest | None:
-        """Return the next request, if it is time; it goes to the member that the term names."""
+        """Return the next request, if it is due; the term names its receiver."""
         if self.term is None or now < self.next_request_at or self.leaving:
             return None
         return self._build_request(self.term, demand, now)
--- a/locktide/cluster/quota/local_quota.py
+++ b/locktide/cluster/quota/local_quota.py
@@ -52,7 +52,7 @@
         shares: the shares in force, the minimum included.
         shares_until: when the lease of the shares expires; 0 where there is none.
         buckets: the tokens of the shares, by quota; none for a quota that is only divided.
-        demand_counts: the tokens that were asked for, halved at each decay.
+        demand_counts: the tokens that were demanded, halved at each decay.
         demand_peaks: the same just before the last decay.
         loans: the loans in force.
         loans_until: when the loans expire; 0 where there are none.
--- a/locktide/cluster/quota/quota_client.py
+++ b/locktide/cluster/quota/quota_client.py
@@ -1,4 +1,4 @@
-"""Connects a member's leases with what it may spend: demand goes into requests, leases into force."""
+"""Connects a member's leases with its local quota: reports demand, and puts what is leased in force."""
 
 from __future__ import annotations
 
--- a/locktide/config/json_reader.py
+++ b/locktide/config/json_reader.py
@@ -99,7 +99,7 @@
         return value
 
     def choice(self, spellings: Mapping[str, Choice], name: str, default: Any = REQUIRED) -> Choice:
-        """Return what one of the allowed strings stands for."""
+        """Return the value that one of the allowed strings means."""
         value = self.get(name, default)
         if not isinstance(value, str) or value not in spellings:
             expected = f"one of {', '.join(spellings)}"
--- a/tests/bench_adapter/test_wire.py
+++ b/tests/bench_adapter/test_wire.py
@@ -25,9 +25,10 @@
     WatchEndpoints,
     WriteLog,
 )
+from locktide.scheduler.events import EndpointEntry, EndpointListUpdate
 from locktide.scheduler.log_events import WorkerSuspected
 from locktide.scheduler.scheduler import Scheduler
-from locktide.scheduler.types import SuspicionReason
+from locktide.scheduler.types import EndpointState, ListUpdateKind, SuspicionReason
 
 SETTINGS = json.dumps(
     {
@@ -80,6 +81,34 @@
     assert "FORWARD" not in replies(text)
 
 
+def test_instance_that_was_stopped_gets_no_events_of_its_batch() -> None:
+    text = START + LIST.format("worker-a") + "QUERY Corr=7 Cls=view GiveUpAt=6010\nRETIRE\nEOB\n"
+    assert replies(text) == "END\n"
+
+
+def test_instance_started_anew_without_a_stop_has_no_earlier_events() -> None:
+    text = START + LIST.format("worker-a") + "QUERY Corr=7 Cls=view GiveUpAt=6010\n"
+    assert "FORWARD" in replies(text + "EOB\n")
+    assert "FORWARD" not in replies(text + START.splitlines()[2] + "\nEOB\n")
+
+
+def test_failed_list_update_has_no_entries_and_names_no_list(monkeypatch: pytest.MonkeyPatch) -> None:
+    seen: list[object] = []
+
+    def record(self: object, now: int, events: list[object]) -> list[object]:
+        seen.extend(events)
+        return []
+
+    monkeypatch.setattr(Scheduler, "step", record)
+    entry = EndpointEntry("worker-a", "", "", 0, EndpointState.READY, 1.0, 0)
+    replies(START + LIST.format("worker-a") + "UPDATE Sheet=0 Mode=INCREMENTAL\nUPDATE Mode=FAILED\nEOB\n")
+    assert seen == [
+        EndpointListUpdate(ListUpdateKind.CACHED, [entry]),
+        EndpointListUpdate(ListUpdateKind.DELTA, [entry]),
+        EndpointListUpdate(ListUpdateKind.FETCH_FAILED, []),
+    ]
+
+
 def test_empty_batch_has_an_empty_reply() -> None:
     assert replies("SYNC AtTime=1\nEOB\n") == "END\n"
 
