--- a/tests/dispatcher/test_event_orders.py
+++ b/tests/dispatcher/test_event_orders.py
@@ -56,6 +56,11 @@
 )
 @given(st.sampled_from(["view", "cash", "record"]), EVENTS)
 def test_any_order_of_events_leaves_nothing_owed(first: str, events: list[tuple[str, int, float]]) -> None:
+    """Clients, workers, discovery and signals may act in any order, also at the same moment.
+
+    The oracle goes by what the peers sent and got. Each request must have one response or a stated loss, no
+    job two copies, no draining worker a new one, and nothing may be left open at the end.
+    """
     rig = play([(first, 0, 0.0), (first, 0, 0.0), *events])
     assert rig.faults == []
 
@@ -116,6 +121,7 @@
 def test_oracle_finds_a_seeded_fault(
     kind: str, where: Any, name: str, faulty: Any, events: list[Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """This proves the oracle: without the fault it finds nothing, with each one what that must lead to."""
     assert play(events).faults == []
     monkeypatch.setattr(where, name, faulty)
     found = play(events).faults
--- a/tests/dispatcher/test_requests.py
+++ b/tests/dispatcher/test_requests.py
@@ -13,6 +13,8 @@
 
 
 def test_rejected_request_gets_503_with_retry_after_and_failed_request_gets_502() -> None:
+    """A client that is rejected may come back, and needs to know when; one whose request failed must not."""
+
     async def story(play: HandPlayed) -> None:
         denied, terminated = (play.node.submit(submission(name)) for name in "ab")
         assert denied is not None and terminated is not None
--- a/tests/dispatcher/test_scheduler_bridge.py
+++ b/tests/dispatcher/test_scheduler_bridge.py
@@ -31,6 +31,8 @@
 
 
 def test_events_of_one_loop_turn_go_to_the_scheduler_in_one_step() -> None:
+    """A step for each event would cost a placement round for each: one step takes those of a loop turn."""
+
     async def story(play: HandPlayed) -> None:
         await play.settle()
         before = len(play.turns)
--- a/tests/transport/test_upstream_pool.py
+++ b/tests/transport/test_upstream_pool.py
@@ -203,3 +203,38 @@
         listening.close()
 
     asyncio.run(run())
+
+
+def test_idle_connection_to_the_former_address_of_a_worker_is_not_used() -> None:
+    """A worker moves while a job is on its way to the old address.
+
+    The connection of that job becomes idle after the others were closed for the move. The next job on it
+    would reach whatever process listens there now. It must be closed, and the job is sent to the new address.
+    """
+    served: list[str] = []
+
+    def script(name: str) -> Callable[..., Awaitable[None]]:
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await reader.readuntil(b"x" * 100)
+            served.append(name)
+            writer.write(TAKEN % 0)
+            await reader.read()
+            writer.close()
+
+        return serve
+
+    async def run() -> None:
+        former = await asyncio.start_server(script("former"), "127.0.0.1", 0)
+        current = await asyncio.start_server(script("current"), "127.0.0.1", 0)
+        pool = UpstreamPool(DescriptorBudget(10), 500_000, 400_000)
+        request = UpstreamRequest("POST", "/view", [], b"x" * 100)
+        for listening in (former, current):
+            address = listening.sockets[0].getsockname()
+            async with asyncio.timeout(5.0):
+                await pool.send("w", address, lambda: request, lambda: None)
+        assert served == ["former", "current"] and pool.descriptors.used == 1
+        pool.close_idle("w")
+        former.close()
+        current.close()
+
+    asyncio.run(run())
