--- /dev/null
+++ b/tests/scheduler/test_affinity.py
@@ -0,0 +1,69 @@
+"""Which endpoints a request with an affinity key is drawn among."""
+
+from __future__ import annotations
+
+import pytest
+from helpers import GRADES, listed, terms
+
+from locktide.scheduler.estimators.key_frequencies import KeyFrequencies
+from locktide.scheduler.events import RequestArrived
+from locktide.scheduler.policy.affinity import AffinityRouter
+from locktide.scheduler.state import ActiveConfig, Clock, Endpoint, EndpointTable, FleetEstimates, Request
+
+KEY = 7
+#: The usual run of "view" while no end is known: its latency objective, in microseconds.
+USUAL_RUN = 250_000
+
+
+class Routing:
+    """Twenty endpoints, and a request with a key that arrives at moment 0."""
+
+    def __init__(self) -> None:
+        self.clock = Clock()
+        self.endpoints = EndpointTable()
+        self.endpoints.by_id = {f"w{n}": Endpoint(listed(f"w{n}"), 1.0) for n in range(20)}
+        self.endpoints.rebuild_candidates(GRADES)
+        self.estimates = FleetEstimates(self.clock, ActiveConfig(terms(3, 3, False, 0.4)))
+        self.estimates.configure()
+        self.frequencies = KeyFrequencies()
+        self.router = AffinityRouter(
+            clock=self.clock,
+            endpoints=self.endpoints,
+            estimates=self.estimates,
+            key_frequencies=self.frequencies,
+        )
+        self.request = Request(RequestArrived(1, "view", 3_000_000), GRADES[0], 0, 1)
+
+    def nearest(self, now: int = 0) -> list[Endpoint]:
+        """Return the endpoints that the request is drawn among at this moment."""
+        self.clock.now = now
+        return self.router.nearest(self.request, KEY, self.endpoints.candidates[None])
+
+
+def test_the_first_key_after_a_restart_has_a_few_endpoints() -> None:
+    """The first key that a dispatcher saw had all of its requests, and was drawn among the whole fleet.
+
+    Every worker then fetched what the key needs. Five requests of other keys count beside its own.
+    """
+    routing = Routing()
+    routing.frequencies.count(KEY, 0)
+    assert len(routing.nearest()) == 5  # half as many again as a sixth of twenty
+
+
+@pytest.mark.parametrize(("runs_waited", "count"), [(0.0, 2), (0.5, 4), (1.0, 8), (5.0, 20)])
+def test_the_endpoints_of_a_key_double_in_each_half_of_a_usual_run(runs_waited: float, count: int) -> None:
+    routing = Routing()
+    assert len(routing.nearest(int(runs_waited * USUAL_RUN))) == count
+
+
+def test_a_crowded_endpoint_of_a_key_is_passed_over_and_not_replaced() -> None:
+    """In an overload the crowded endpoints of a key were replaced by the next of its order.
+
+    Each key reached ever new workers, which all fetched what it needs, and runs grew until the fleet stood
+    still. A crowded endpoint gets no request, but it counts among those of the key.
+    """
+    routing = Routing()
+    first, second = routing.nearest()
+    first.load = 2.0
+    routing.estimates.mean_load = 0.5
+    assert routing.nearest() == [second]
--- a/tests/scheduler/test_load_ratings.py
+++ b/tests/scheduler/test_load_ratings.py
@@ -142,6 +142,24 @@
     assert drawn["w9"] / 400 < 1.6 * factor / 10
 
 
+def test_a_single_draw_falls_on_a_warming_worker_by_its_slow_start_factor() -> None:
+    """A worker that has just started holds nothing, so by its rating most draws would fall on it.
+
+    The slow-start budget would refuse them, and the requests would wait though others were free. Whatever its
+    rating, the worker has the mean weight of the others times its factor.
+    """
+    checked = Checked(live=True)
+    ratings = {f"w{number}": 3.5 for number in range(9)} | {"w9": IDLE}
+    checked.list(*rated(dict.fromkeys(ratings, IDLE)))
+    checked.list(*rated(ratings, w9=checked.now - 1_000_000), kind=ListUpdateKind.DELTA)
+    endpoints = checked.dispatcher.endpoints.candidates[None]
+    strategy = checked.dispatcher.strategies.current
+    drawn = Counter(strategy.draw(endpoints, has_key=False).id for _ in range(4000))
+    factor = COLD.initial_capacity + (1 - COLD.initial_capacity) / 8
+    expected = factor / (9 + factor)
+    assert 0.7 * expected < drawn["w9"] / 4000 < 1.4 * expected
+
+
 def test_warming_workers_share_the_budget_though_only_one_has_capacity() -> None:
     """Within 0.45 s of its start 20 attempts reached one worker, 4.2 times what it could do.
 
@@ -185,6 +203,19 @@
     assert workers_of_sixty_requests(connection_cost=0.0) == 10
 
 
+def test_workers_of_another_zone_are_drawn_less_often_where_crossing_has_a_cost() -> None:
+    costs = CostConfig(cross_zone=0.02, zone="zone-0")
+    checked = Checked(live=True, prices=costs)
+    checked.list(*[listed(f"w{number}", cell=number % 2, rating=IDLE) for number in range(10)])
+    for request in range(200):
+        checked.arrive(request, "view")
+        checked.pass_time(STEP)
+        checked.end(request, 0, AttemptOutcome.DONE)
+    zones = Counter(checked.dispatches[request][0]["zone"] for request in range(200))
+    # Twice the cost that divides a weight by e: 0.135 of the draws of the own zone.
+    assert 10 < zones["zone-1"] < 40
+
+
 def test_requests_that_may_run_anywhere_draw_a_type_with_a_class_of_its_own_a_quarter_as_often() -> None:
     """A service class that one worker type runs alone waited 0.5 s for its start in a tenth of cases.
 
--- /dev/null
+++ b/tests/scheduler/test_load_shedding.py
@@ -0,0 +1,69 @@
+"""When a request is given up, what its client is advised, and what is logged of it."""
+
+from __future__ import annotations
+
+from helpers import Checked, listed
+
+from locktide.scheduler.commands import RejectRequest, WriteLog
+from locktide.scheduler.log_events import RequestRejected
+from locktide.scheduler.types import AttemptOutcome, EndpointState
+
+
+def rejections(checked: Checked) -> list[RejectRequest]:
+    return [command for command in checked.orders if isinstance(command, RejectRequest)]
+
+
+def test_a_request_that_fails_anywhere_is_rejected_with_the_longest_advice() -> None:
+    """Clients repeated requests that every worker answered with an error, as fast as they were advised.
+
+    An error at a second sound worker shows that the request is at fault. Its client is advised to wait as
+    long as the settings allow, here two seconds.
+    """
+    checked = Checked()
+    checked.list(listed("w0"), listed("w1"), listed("w2"))
+    checked.arrive(1, "view")
+    checked.end(1, 0, AttemptOutcome.ERROR)
+    checked.pass_time(20_000)
+    checked.end(1, 1, AttemptOutcome.ERROR)
+    assert rejections(checked) == [RejectRequest(1, 2_000_000)]
+
+
+def test_the_advice_is_when_the_next_running_request_should_end() -> None:
+    """Clients that were advised to wait for a whole run came back late and took the place of fresh requests.
+
+    With two requests running, whose usual run is 250 ms, the next one should end within half of that.
+    """
+    checked = Checked()
+    checked.list(listed("w0"), listed("w1"))
+    for request in range(3):
+        checked.arrive(request, "view")
+    checked.pass_time(300_000)
+    assert rejections(checked) == [RejectRequest(2, 125_000)]
+
+
+def test_rejections_write_one_log_event_in_five_seconds() -> None:
+    """In an overload a line for each rejection would hide every other event of the log."""
+    checked = Checked()
+    for request in range(10):
+        checked.arrive(request, "view")
+    checked.pass_time(1_000_000)
+    assert len(rejections(checked)) == 10
+    logged = [command for command in checked.orders if isinstance(command, WriteLog)]
+    assert [type(command.event) for command in logged] == [RequestRejected]
+
+
+def test_a_request_whose_repeats_are_no_longer_dropped_is_answered_at_once() -> None:
+    """A request that may have run waited for a worker of its cell until its deadline, two seconds in vain.
+
+    Past its deduplication window, here 4 s after the first attempt, no repeat may be sent. It has to be
+    answered then, and not before, as a late response is better than none.
+    """
+    checked = Checked()
+    checked.list(listed("w0"))
+    checked.arrive(1, "record")
+    checked.end(1, 0, AttemptOutcome.RESET)
+    checked.list(listed("w0", state=EndpointState.GONE))
+    checked.pass_time(3_900_000)
+    assert 1 not in checked.answered
+    checked.pass_time(200_000)
+    assert checked.answered[1] == "terminated"
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from helpers import listed
+from helpers import GRADES, Checked, listed
 
 from locktide.dispatcher.settings import SLOW_START_MARGIN
 from locktide.scheduler.commands import CancelAttempt, SetTimer, StartAttempt
@@ -34,6 +34,7 @@
     TimerFired,
 )
 from locktide.scheduler.scheduler import Scheduler
+from locktide.scheduler.state import Request
 from locktide.scheduler.types import AttemptOutcome, DeduplicationScope, Effect, ListUpdateKind
 
 #: Slots of each worker.
@@ -221,3 +222,18 @@
     """
     worst = [Burst(seed, 30, warm, warming, SLOW_START_MARGIN).run() for seed in range(8)]
     assert 0.3 < max(worst) <= 1.0, worst
+
+
+@pytest.mark.parametrize(("has_ratings", "is_allowed"), [(True, True), (False, False)])
+def test_a_rated_worker_is_sent_as_much_as_its_size_allows(has_ratings: bool, is_allowed: bool) -> None:
+    """Workers of eight cores that had just started stayed idle beside queues, as each counted as two slots.
+
+    Eight seconds of work fill a worker of eight cores for one second, of the 1.2 that it may be sent. Where
+    no rating tells its size, they fill it for four.
+    """
+    checked = Checked(fleet=1, live=has_ratings)
+    checked.list(listed("w", rating=8.0, started_at=checked.now))
+    endpoint = checked.dispatcher.endpoints.by_id["w"]
+    arrival = RequestArrived(1, "view", checked.now + 3_000_000, work_hint=8_000_000)
+    request = Request(arrival, GRADES[0], checked.now, 1)
+    assert checked.dispatcher.slow_start.allows(endpoint, request) == is_allowed
