--- a/locktide/scheduler/policy/attempt_timeouts.py
+++ b/locktide/scheduler/policy/attempt_timeouts.py
@@ -43,6 +43,8 @@
 #: An attempt without a start is as good as lost after the timeout of its class divided by this: it seldom
 #: ends in the rest, and a retry still can.
 TIMEOUT_PER_PRESUMED_LOST = 2
+#: Half report intervals without a report after which a running attempt is in doubt.
+MAX_SILENCE_IN_HALF_INTERVALS = 3
 
 
 @dataclass(eq=False)
@@ -128,6 +130,6 @@
 def max_silence(report_interval: int) -> int:
     """Return the longest time between two reports of a sound worker.
 
-    One and a half intervals: a report may be late by the network, never by half its interval.
+    A report may be late by the network, never by half its interval.
     """
-    return report_interval * 3 // 2
+    return report_interval * MAX_SILENCE_IN_HALF_INTERVALS // 2
--- a/locktide/scheduler/policy/endpoint_polling.py
+++ b/locktide/scheduler/policy/endpoint_polling.py
@@ -23,6 +23,8 @@
 from locktide.scheduler.log_events import EndpointListFetchFailed
 from locktide.scheduler.state import ActiveConfig, Clock, CommandBuffer, TimerPurpose, Timers
 
+#: The first call is drawn from `poll_within` divided by this.
+POLL_WITHIN_PER_FIRST_SPAN = 2
 #: The longest span of a call, in spans of `poll_within`.
 MAX_POLL_SPANS = 2
 #: Doublings of the span that are computed at most: `MAX_POLL_SPANS` is reached long before.
@@ -79,7 +81,7 @@
     def _span(self, timed_out: bool) -> int:
         """Return the span in which the next call is drawn."""
         config = self.config.current.endpoint_list
-        doubled = config.poll_within // 2 << min(self.failures, MAX_DOUBLINGS)
+        doubled = config.poll_within // POLL_WITHIN_PER_FIRST_SPAN << min(self.failures, MAX_DOUBLINGS)
         span = min(MAX_POLL_SPANS * config.poll_within, doubled)
         if self.failures and config.notified_within:
             thirds = THIRDS_AFTER_TIMEOUT if timed_out else THIRDS_AFTER_REJECTION
--- a/locktide/scheduler/scheduler.py
+++ b/locktide/scheduler/scheduler.py
@@ -69,6 +69,7 @@
 
     def __init__(self, seed: int, config: SchedulerConfig) -> None:
         self._create_state(seed, config)
+        self._create_endpoint_policies()
         self._create_request_policies()
         self._create_placement()
         self._create_event_policies()
@@ -107,6 +108,19 @@
         self._key_frequencies = KeyFrequencies()
         self._errors = InternalErrors(self._commands, self.requests)
 
+    def _create_endpoint_policies(self) -> None:
+        self.outliers = OutlierDetector(
+            clock=self.clock,
+            random=self.random,
+            endpoints=self.endpoints,
+            estimates=self.estimates,
+            commands=self._commands,
+        )
+        self._create_placement_strategies()
+        self.limiter = ConcurrencyLimiter(
+            clock=self.clock, config=self.config, estimates=self.estimates, strategies=self.strategies
+        )
+
     def _create_placement_strategies(self) -> None:
         self.slow_start = SlowStartBudget(
             clock=self.clock,
@@ -139,17 +153,6 @@
             estimates=self.estimates,
             commands=self._commands,
         )
-        self.outliers = OutlierDetector(
-            clock=self.clock,
-            random=self.random,
-            endpoints=self.endpoints,
-            estimates=self.estimates,
-            commands=self._commands,
-        )
-        self._create_placement_strategies()
-        self.limiter = ConcurrencyLimiter(
-            clock=self.clock, config=self.config, estimates=self.estimates, strategies=self.strategies
-        )
         self.retries = RetryPolicy(
             clock=self.clock, config=self.config, commands=self._commands, shedder=self.load_shedder
         )
@@ -190,7 +193,7 @@
                 key_frequencies=self._key_frequencies,
             ),
         )
-        self.rounds: Rounds = Rounds(
+        self.rounds = Rounds(
             clock=self.clock,
             config=self.config,
             requests=self.requests,
--- a/locktide/scheduler/state/fleet_estimates.py
+++ b/locktide/scheduler/state/fleet_estimates.py
@@ -11,6 +11,9 @@
 
 #: Slots of an endpoint until more of ours were seen running on one.
 INITIAL_SLOTS_PER_ENDPOINT = 2.0
+#: Dispatchers for each slot of an endpoint above which the fleet is sparse: each dispatcher sees too little
+#: of any one endpoint to learn its concurrency limit.
+SPARSE_DISPATCHERS_PER_SLOT = 3.0
 #: The longest run, in usual runs, that counts towards the speed of a worker type: beyond it the request was
 #: heavy rather than the type slow.
 MAX_RELATIVE_RUN_TIME = 4.0
@@ -41,7 +44,8 @@
 
     def configure(self) -> None:
         """Follow the configuration in force; what was learned of a service class is kept."""
-        self.is_sparse = 3.0 * self.slots_per_endpoint < self._config.current.dispatcher_count
+        dispatchers = self._config.current.dispatcher_count
+        self.is_sparse = SPARSE_DISPATCHERS_PER_SLOT * self.slots_per_endpoint < dispatchers
         self.run_times = {
             name: self.run_times.get(name) or RunTimeEstimator(each.latency_objective)
             for name, each in self._config.known_service_classes.items()
@@ -51,7 +55,8 @@
         """Learn how many slots an endpoint has from how many of ours run there."""
         running = endpoint.in_flight - sum([attempt.width for attempt in endpoint.unstarted])
         self.slots_per_endpoint = max(self.slots_per_endpoint, running)
-        self.is_sparse = 3.0 * self.slots_per_endpoint * self._config.dispatcher_share < 1.0
+        share = self._config.dispatcher_share
+        self.is_sparse = SPARSE_DISPATCHERS_PER_SLOT * self.slots_per_endpoint * share < 1.0
 
     def observe_run_time(self, attempt: Attempt) -> None:
         """Learn how long requests of a class and at a worker type run from one that has ended well."""
--- a/tests/scheduler/test_decisions.py
+++ b/tests/scheduler/test_decisions.py
@@ -361,11 +361,11 @@
     assert records == [1.0, 0.5, 0.25] and suspected == [True, True, False]
 
 
-def test_slow_progress_makes_a_worker_suspected() -> None:
-    """Some workers ran everything four to ten times slower than the others, and ended it all the same.
+def test_a_worker_that_reports_too_late_stays_suspected_after_its_report() -> None:
+    """Some workers ran everything four to ten times slower than the others, and reported seldom.
 
-    Nothing was recorded as a failure, so requests went on to them and were late. A report of progress from
-    which a run far longer than usual follows must make the worker suspected.
+    Nothing was recorded as a failure, so requests went on to them and were late. A worker must be suspected
+    once its report is overdue, and stay so when one comes at last that shows next to nothing done.
     """
     service = Checked()
     service.list(listed("w"))
