--- a/locktide/scheduler/policy/attempt_timeouts.py
+++ b/locktide/scheduler/policy/attempt_timeouts.py
@@ -5,15 +5,17 @@
 - Prompt start: a quarter of the shortest latency objective after it was sent. A later start is late, which
   lowers the concurrency limit of its worker (`concurrency_limit`); nothing else is sent behind an attempt
   that is late.
-- First check: a part of the slack of its request after it was sent, but no sooner than a prompt start.
+- First check: a part of the slack of its request after its command, but no sooner than a prompt start.
   Without a start a retry may take its place (`retries`). The part leaves time for several attempts more.
-- No start: two usual runs after it was sent. If its worker gave no sign at all since, it is suspected.
+- No start: two usual runs after it was sent. If its worker has reported no start, progress or result of any
+  attempt of ours since, and was not full, it is suspected.
 - As good as lost: half the timeout of its class after its command. What has not started by then seldom ends
   well; from then on a retry may take the place also of what may be repeated in few places only.
 - No progress: one and a half report intervals after the last report. The worker is suspected, and a retry
   may take the attempt's place.
 
-All spans are in microseconds.
+No check follows the last of these: an attempt for which the retry budget had nothing left then is left to
+its deadline. All spans are in microseconds.
 """
 
 from dataclasses import dataclass, field
@@ -71,7 +73,7 @@
         return self.clock.now - attempt.sent_at <= self.prompt_start
 
     def expect_start(self, attempt: Attempt, slack: float) -> None:
-        """Set the first check of an attempt that is being sent, whose request has `slack` left."""
+        """Set the first check of an attempt that is being sent; `slack` is that of its request on arrival."""
         first_check = int(slack) // self._slack_per_first_check()
         self.timers.set(max(self.prompt_start, first_check), attempt)
 
--- a/tests/scheduler/test_retries.py
+++ b/tests/scheduler/test_retry_eligibility.py
@@ -1,4 +1,4 @@
-"""Retries: which further attempts are allowed, and what they cost."""
+"""Retry eligibility: which further attempts are allowed, and what may be rejected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,6 @@
 
 from locktide.scheduler.config import ServiceClass
 from locktide.scheduler.events import RequestArrived
-from locktide.scheduler.policy.retry_budget import MAX_RETRY_BUDGET, RetryBudget
 from locktide.scheduler.policy.retry_eligibility import may_attempt, may_reject, repeats_until
 from locktide.scheduler.state import Attempt, Endpoint, Request
 from locktide.scheduler.types import DeduplicationScope, Effect
@@ -89,47 +88,3 @@
     """
     assert may_reject(attempted_request(effect, scope)) == is_harmless
     assert may_reject(attempted_request(effect, scope, attempts=0))
-
-
-def retry_attempt(is_retry: bool) -> Attempt:
-    return attempted_request(Effect.IDEMPOTENT, attempts=2 if is_retry else 1).attempts[-1]
-
-
-def test_the_budget_is_used_up_by_retries_and_earned_by_successes() -> None:
-    """A part of the fleet slowed down, and every late attempt was cancelled for a retry.
-
-    The retries were late as well, so that the fleet did each job several times at its worst moment. Retries
-    beyond the budget must not be made; ten successes earn one.
-    """
-    budget = RetryBudget()
-    retry = retry_attempt(is_retry=True)
-    assert retry.is_retry
-    for _ in range(int(MAX_RETRY_BUDGET)):
-        assert budget.allows_retry()
-        budget.on_sent(retry)
-    assert not budget.allows_retry()
-    for _ in range(11):  # eleven tenths: a sum of ten tenths is a little under one
-        budget.on_success()
-    assert budget.allows_retry()
-    budget.on_sent(retry)
-    assert not budget.allows_retry()
-
-
-def test_a_retry_that_starts_promptly_or_was_never_sent_costs_nothing() -> None:
-    budget = RetryBudget()
-    retry = retry_attempt(is_retry=True)
-    for _ in range(3 * int(MAX_RETRY_BUDGET)):
-        budget.on_sent(retry)
-        budget.on_prompt_start(retry)
-        budget.on_sent(retry)
-        budget.on_unsent(retry)
-    assert budget.allows_retry()
-
-
-def test_a_first_attempt_costs_no_retry() -> None:
-    budget = RetryBudget()
-    first = retry_attempt(is_retry=False)
-    assert not first.is_retry
-    for _ in range(3 * int(MAX_RETRY_BUDGET)):
-        budget.on_sent(first)
-    assert budget.allows_retry()
