--- a/tests/bench_adapter/test_wire.py
+++ b/tests/bench_adapter/test_wire.py
@@ -134,7 +134,7 @@
 )
 def test_malformed_input_is_one_line_and_exit_two(text: str, said: str) -> None:
     command = [sys.executable, "-m", "locktide.bench_adapter"]
-    run = subprocess.run(command, input=text, capture_output=True, text=True)
+    run = subprocess.run(command, input=text, capture_output=True, text=True, check=False)
     assert run.returncode == 2 and run.stdout == ""
     assert run.stderr.startswith(said) and run.stderr.count("\n") == 1
 
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -89,7 +89,7 @@
     show = [*command, "accord", "show", f"127.0.0.1:{udp}"]
 
     def run(arguments: list[str]) -> subprocess.CompletedProcess[str]:
-        return subprocess.run(arguments, env=environment, capture_output=True, text=True)
+        return subprocess.run(arguments, env=environment, capture_output=True, text=True, check=False)
 
     process = subprocess.Popen([*command, "serve", str(path)], stderr=subprocess.PIPE, env=environment)
     try:
@@ -173,7 +173,9 @@
         "import sys, locktide.__main__, locktide.cli.serve\n"
         "print([name for name in sys.modules if name.startswith('locktide.cluster')])"
     )
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=REPOSITORY)
+    told = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, cwd=REPOSITORY, check=False
+    )
     assert told.stdout.strip() == "[]"
 
 
--- a/tests/dispatcher/test_event_orders.py
+++ b/tests/dispatcher/test_event_orders.py
@@ -67,7 +67,8 @@
 
 def story(*words: str) -> list[tuple[str, int, float]]:
     """Each word an event, 20 ms after the one before; `word:2` for the third worker, job or client. "speak"
-    changes nothing but the time."""
+    changes nothing but the time.
+    """
     pairs = [word.partition(":") for word in words for word in word.split()]
     return [(kind, int(number or 0), 0.02) for kind, _, number in pairs]
 
--- a/tests/dispatcher/test_process.py
+++ b/tests/dispatcher/test_process.py
@@ -100,5 +100,6 @@
         capture_output=True,
         text=True,
         env={**os.environ, "GW_CONFIG": "/nowhere"},
+        check=False,
     )
     assert run.returncode == 2 and re.fullmatch(r"locktide: GW_CONFIG: .*\n", run.stderr)
--- a/tests/simulation/test_simulate.py
+++ b/tests/simulation/test_simulate.py
@@ -88,6 +88,7 @@
         capture_output=True,
         text=True,
         timeout=120,
+        check=False,
     )
 
 
--- a/tests/transport/test_upstream_pool.py
+++ b/tests/transport/test_upstream_pool.py
@@ -19,13 +19,12 @@
 async def send_repeatedly(
     script: Callable[..., Awaitable[None]], times: int = 1, body: bytes = b"x" * 100
 ) -> tuple[list[SendResult], UpstreamPool]:
-    """Sends requests to a scripted worker, one after the other."""
+    """Send requests to a scripted worker, one after the other."""
     listening = await asyncio.start_server(script, "127.0.0.1", 0)
     address = listening.sockets[0].getsockname()
-    pool, outcomes = UpstreamPool(DescriptorBudget(10), 500_000, 400_000), []
+    pool = UpstreamPool(DescriptorBudget(10), 500_000, 400_000)
     request = UpstreamRequest("POST", "/view", [], body)
-    for _ in range(times):
-        outcomes.append(await pool.send("w", address, lambda: request, lambda: None))
+    outcomes = [await pool.send("w", address, lambda: request, lambda: None) for _ in range(times)]
     listening.close()
     return outcomes, pool
 
