--- a/locktide/dispatcher/failure_responses.py
+++ b/locktide/dispatcher/failure_responses.py
@@ -6,6 +6,7 @@
 
 from locktide.dispatcher.cancellation import CancellationService
 from locktide.dispatcher.registry import RequestRegistry
+from locktide.protocol import names
 from locktide.scheduler.commands import FailRequest, RejectRequest, ReportInternalError
 from locktide.transport.interfaces import Response
 from locktide.transport.log import Log
@@ -24,7 +25,7 @@
         """Respond that the request was not accepted, and when to come back."""
         headers = []
         if command.retry_after:
-            headers.append(("Retry-After", f"{command.retry_after / MICROSECONDS_PER_SECOND:.3f}"))
+            headers.append((names.RETRY_AFTER, f"{command.retry_after / MICROSECONDS_PER_SECOND:.3f}"))
         self.registry.respond(command.request_id, Response(503, b"denied\n", headers))
 
     def fail(self, command: FailRequest) -> None:
--- a/locktide/dispatcher/settings.py
+++ b/locktide/dispatcher/settings.py
@@ -21,7 +21,11 @@
 
 
 def with_socket_settings(start: Start) -> Start:
-    """Return a copy of the settings with what the platform's sockets need; others may hold those given."""
+    """Return a copy of the settings with the three fields that the platform's JSON has no key for.
+
+    They depend on the host: the simulator's adapter keeps the defaults of `scheduler.config`. The settings
+    that are given stay as they are, as others may hold them.
+    """
     config = start.scheduler_config
     config = replace(
         config,
--- a/locktide/transport/client_connection.py
+++ b/locktide/transport/client_connection.py
@@ -11,8 +11,6 @@
 from locktide.transport.connection_context import ConnectionContext
 from locktide.transport.interfaces import Response
 
-__all__ = ["ClientConnection", "ConnectionState", "PeerRole", "Response"]
-
 #: Seconds for a message to come in complete, from the accept for the first, from its first byte for others;
 #: and for a peer that has not proven itself to begin another. An honest client sends at once; any other is
 #: owed a response or a close within 3 s of connecting, of which some may pass before it is accepted.
