--- a/locktide/scheduler/commands.py
+++ b/locktide/scheduler/commands.py
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Fetches the endpoint list once."""
+    """Fetches the endpoint list once. No policy commands it; the simulator's wire has a message for it."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/locktide/scheduler/policy/attempt_outcomes.py
+++ b/locktide/scheduler/policy/attempt_outcomes.py
@@ -77,7 +77,7 @@
     def on_ended(self, event: AttemptEnded) -> None:
         """Note the outcome of an attempt, and let its request go on."""
         attempt = self.requests.find_attempt(event.request_id, event.attempt)
-        if attempt is None or attempt not in attempt.request.in_flight:
+        if attempt is None or attempt not in attempt.request.open_attempts:
             return
         request = attempt.request
         self._release(attempt, event.outcome)
@@ -86,7 +86,7 @@
         else:
             self._on_failed(attempt, event.outcome)
         if request.is_answered:
-            if not request.in_flight:
+            if not request.open_attempts:
                 self.requests.forget(request)
         elif event.final:
             self.lifecycle.finish(request)
@@ -97,7 +97,7 @@
         """Free what the attempt took up at its endpoint."""
         endpoint = attempt.endpoint
         self.attempts.close(attempt, keeps_connection=outcome in RESPONDED)
-        self.limiter.back_off(endpoint, self.clock.now - attempt.sent_at)
+        self.limiter.pause_between_attempts(endpoint, self.clock.now - attempt.sent_at)
         self.endpoint_list.close_idle_connections(endpoint)
         if outcome not in UNINFORMATIVE:
             # An end without a result counts as a late start, also that of an attempt which we cancelled.
--- a/locktide/scheduler/policy/concurrency_limit.py
+++ b/locktide/scheduler/policy/concurrency_limit.py
@@ -25,7 +25,7 @@
 #: their shares unused, and what turns out to wait is sent elsewhere.
 MINIMUM_SHARES = 2.0
 #: The same where work that is sent at most once has to stay in the queue that it meets.
-MINIMUM_SHARES_BOUND = 1.0
+MINIMUM_SHARES_AT_MOST_ONCE = 1.0
 #: Requests of one slot that the minima of all dispatchers together may put on each slot before a minimum
 #: falls under one request.
 REQUESTS_PER_SLOT = 3.0
@@ -43,9 +43,9 @@
         now: the present, in microseconds.
         prompt_start: the longest time from sending to start that is not late, in microseconds.
     """
-    if not endpoint.in_flight:
+    if not endpoint.slots_in_flight:
         return now >= max(endpoint.resting_until, endpoint.unavailable_until)
-    if endpoint.in_flight + width > endpoint.concurrency_limit or now < endpoint.unavailable_until:
+    if endpoint.slots_in_flight + width > endpoint.concurrency_limit or now < endpoint.unavailable_until:
         return False
     # Without this check requests pile up behind a queue, or on a worker that has gone silent, up to the
     # limit: they all start late, or never. An attempt of ours that has not started in time shows the queue
@@ -74,8 +74,8 @@
     def configure(self) -> None:
         """Apply the configuration in force."""
         classes = self._config.service_classes.values()
-        has_bound_work = any([each.effect == Effect.AT_MOST_ONCE for each in classes])
-        self._minimum_shares = MINIMUM_SHARES_BOUND if has_bound_work else MINIMUM_SHARES
+        has_at_most_once_work = any([each.effect == Effect.AT_MOST_ONCE for each in classes])
+        self._minimum_shares = MINIMUM_SHARES_AT_MOST_ONCE if has_at_most_once_work else MINIMUM_SHARES
 
     def minimum(self) -> float:
         """Return the least limit, in slots.
@@ -87,7 +87,7 @@
         is our share, and one whole request only while all minima together stay within `REQUESTS_PER_SLOT`.
         """
         share = self._estimates.slots_per_endpoint * self._config.dispatcher_share
-        if not self._strategies.current.needs_back_off:
+        if not self._strategies.current.needs_pauses:
             return max(1.0, share)
         return max(self._minimum_shares * share, min(1.0, REQUESTS_PER_SLOT * share))
 
@@ -99,15 +99,15 @@
         elif not is_prompt:
             endpoint.concurrency_limit = max(self.minimum(), LIMIT_DECREASE * endpoint.concurrency_limit)
 
-    def back_off(self, endpoint: Endpoint, stay: int) -> None:
-        """Stay away from an endpoint with a limit under one, after an attempt that was there for `stay`.
+    def pause_between_attempts(self, endpoint: Endpoint, stay: int) -> None:
+        """Stay away from an endpoint with a limit under one slot, after an attempt that was there for `stay`.
 
         An endpoint with nothing of ours has capacity for one request, whatever its limit. Many dispatchers
         that each keep one request on every endpoint overfill the fleet, which shows as late starts
         everywhere. Staying away makes our work in flight there the limit on average.
         """
         limit = endpoint.concurrency_limit
-        if not endpoint.in_flight and limit < 1.0:
+        if not endpoint.slots_in_flight and limit < 1.0:
             endpoint.resting_until = self._clock.now + int(stay * (1.0 / limit - 1.0))
 
     def on_full(self, endpoint: Endpoint, run_time: float) -> None:
--- a/locktide/scheduler/policy/load_shedding.py
+++ b/locktide/scheduler/policy/load_shedding.py
@@ -31,6 +31,7 @@
     RequestPool,
 )
 
+MICROSECONDS_PER_MILLISECOND = 1000
 #: Fraction of its slack that a request waits in the pool. The rest is for the attempt that follows: more
 #: waiting makes more responses late, less rejects in bursts what would have been served.
 QUEUE_TIMEOUT_SHARE = 0.3
@@ -145,7 +146,7 @@
         """
         running = len(self.requests.open) - len(self.requests.waiting)
         advice = int(self.estimates.usual_run_time(request) / max(1, running))
-        if request.is_unprocessable:
+        if request.fails_anywhere:
             advice = NO_USE_TO_RETRY
         return min(self.config.current.clients.max_retry_after, advice)
 
@@ -153,7 +154,7 @@
         self.commands.log(
             RequestRejected(
                 service_class=request.service_class.name,
-                waited_ms=(self.clock.now - request.arrived_at) // 1000,
+                waited_ms=(self.clock.now - request.arrived_at) // MICROSECONDS_PER_MILLISECOND,
                 waiting=len(self.requests.waiting),
                 slots_in_flight=self.attempts.slots,
             )
--- a/locktide/scheduler/policy/outlier_detection.py
+++ b/locktide/scheduler/policy/outlier_detection.py
@@ -129,7 +129,7 @@
         if is_suspected(endpoint, now):  # its error says nothing about the request
             self.record_failure(endpoint, SuspicionReason.ERROR)
         elif any([earlier is not endpoint for earlier in request.error_endpoints]):
-            request.is_unprocessable = True
+            request.fails_anywhere = True
             request.error_endpoints = []
             self._request_errors.add(1.0, now)
         elif may_retry:
@@ -175,7 +175,7 @@
     # --- what a suspected endpoint is sent
 
     def admits_probe(self, endpoint: Endpoint) -> bool:
-        """Return whether a suspected endpoint is sent one more request."""
+        """Draw whether a suspected endpoint is sent one more request, once in `PROBE_INTERVAL` at most."""
         now = self._clock.now
         if now < endpoint.probed_at + PROBE_INTERVAL:
             return False
--- a/locktide/scheduler/policy/placement_strategy.py
+++ b/locktide/scheduler/policy/placement_strategy.py
@@ -25,7 +25,7 @@
     """How endpoints are drawn, and what follows from what it knows of their load."""
 
     @property
-    def needs_back_off(self) -> bool:
+    def needs_pauses(self) -> bool:
         """Whether an even share of an endpoint is kept by staying away from it between two requests."""
 
     def configure(self) -> None:
--- a/locktide/scheduler/policy/request_lifecycle.py
+++ b/locktide/scheduler/policy/request_lifecycle.py
@@ -40,7 +40,7 @@
 
     def begin(self, request: Request) -> None:
         """Let a new or recovered request wait for a worker, or for the attempts it has."""
-        if request.in_flight:
+        if request.open_attempts:
             return
         if self.retries.may_attempt(request):
             self.requests.enter(request)
@@ -61,15 +61,15 @@
 
     def finish(self, request: Request) -> None:
         """End a request that has its response, or whose client is gone; its other attempts are cancelled."""
-        for attempt in request.in_flight:
+        for attempt in request.open_attempts:
             self.retries.cancel(attempt)
         self.requests.close(request)
 
     def continue_after_attempt(self, request: Request) -> None:
         """Let a request go on after an attempt that brought no response."""
-        if request.in_flight:
+        if request.open_attempts:
             return
-        is_over = request.is_unprocessable or self.clock.now >= request.deadline
+        is_over = request.fails_anywhere or self.clock.now >= request.deadline
         if is_over or not self.retries.may_attempt(request):
             self.give_up(request)
             return
--- a/locktide/scheduler/policy/retries.py
+++ b/locktide/scheduler/policy/retries.py
@@ -50,8 +50,8 @@
     def cancel_if_retry_pays(self, attempt: Attempt, is_presumed_lost: bool) -> None:
         """Make room for a retry in the place of an attempt in doubt."""
         request = attempt.request
-        is_bound = not request.is_idempotent and not is_presumed_lost
-        if self.may_attempt(request) and self.budget.allows_retry() and not is_bound:
+        must_stay = not request.is_idempotent and not is_presumed_lost
+        if self.may_attempt(request) and self.budget.allows_retry() and not must_stay:
             self.cancel(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
--- a/locktide/scheduler/policy/slow_start.py
+++ b/locktide/scheduler/policy/slow_start.py
@@ -74,7 +74,7 @@
         return config.initial_capacity + (1.0 - config.initial_capacity) * age / config.warmup
 
     def allows(self, endpoint: Endpoint, request: Request) -> bool:
-        """Return whether the request may be sent to an endpoint that is warming up."""
+        """Return whether a request may be sent to an endpoint that is warming up; may draw at random."""
         need = self._need(endpoint, request)
         endpoint_budget = self._warm_budget() * self.factor(endpoint)
         own_budget = self._config.dispatcher_share * endpoint_budget
--- a/locktide/scheduler/policy/uniform_placement.py
+++ b/locktide/scheduler/policy/uniform_placement.py
@@ -23,7 +23,7 @@
 class UniformPlacement:
     """Draws each endpoint with the same probability."""
 
-    needs_back_off = True
+    needs_pauses = True
 
     def __init__(
         self, *, random: LinearCongruentialGenerator, estimates: FleetEstimates, ratings: LoadRatings
@@ -45,7 +45,7 @@
 
     def accepts(self, endpoint: Endpoint) -> bool:
         """Return whether an idle endpoint accepts in a sparse fleet, drawn by its type's speed."""
-        if not self._estimates.is_sparse or endpoint.in_flight:
+        if not self._estimates.is_sparse or endpoint.slots_in_flight:
             return True
         speed = self._estimates.throughput.relative_speeds.get(endpoint.worker_type, 1.0)
         return self._random.bernoulli(speed**SPEED_EXPONENT)
--- a/locktide/scheduler/policy/weighted_placement.py
+++ b/locktide/scheduler/policy/weighted_placement.py
@@ -37,7 +37,7 @@
     estimates: FleetEstimates
     ratings: LoadRatings
     slow_start: SlowStartBudget
-    needs_back_off: bool = field(default=False, init=False)
+    needs_pauses: bool = field(default=False, init=False)
     _new_connection_factor: float = field(default=1.0, init=False)
 
     def configure(self) -> None:
@@ -74,6 +74,7 @@
         weights: list[float] = []
         warming: list[int] = []
         for endpoint in eligible:
+            # `SlowStartBudget.is_warming_up`, written out: a call for each endpoint costs more.
             if endpoint.started_at != 0 and now < endpoint.started_at + warmup:
                 warming.append(len(weights))
                 weights.append(0.0)
--- a/locktide/scheduler/scheduler.py
+++ b/locktide/scheduler/scheduler.py
@@ -281,7 +281,7 @@
         target = self.timers.pending.pop(event.timer_id, None)
         if target is ROUND:
             self.rounds.on_timer()
-        elif isinstance(target, Attempt) and target in target.request.in_flight:
+        elif isinstance(target, Attempt) and target in target.request.open_attempts:
             self.timeouts.check(target)
 
 
--- a/locktide/scheduler/state/endpoint.py
+++ b/locktide/scheduler/state/endpoint.py
@@ -34,7 +34,7 @@
         "cell",
         "state",
         "started_at",
-        "in_flight",
+        "slots_in_flight",
         "concurrency_limit",
         "unstarted",
         "resting_until",
@@ -55,7 +55,7 @@
 
     def __init__(self, entry: EndpointEntry, concurrency_limit: float) -> None:
         self.id = entry.worker
-        self.in_flight = 0.0  # slots of ours
+        self.slots_in_flight = 0.0  # of our attempts
         self.concurrency_limit = concurrency_limit  # how many slots of ours there may be
         self.unstarted: dict[UnstartedAttempt, None] = {}  # attempts of ours, oldest first
         self.resting_until = 0  # while the limit is under one: when we have held our share on average
--- a/locktide/scheduler/state/fleet_estimates.py
+++ b/locktide/scheduler/state/fleet_estimates.py
@@ -53,7 +53,7 @@
 
     def observe_running(self, endpoint: Endpoint) -> None:
         """Learn how many slots an endpoint has from how many of ours run there."""
-        running = endpoint.in_flight - sum([attempt.width for attempt in endpoint.unstarted])
+        running = endpoint.slots_in_flight - sum([attempt.width for attempt in endpoint.unstarted])
         self.slots_per_endpoint = max(self.slots_per_endpoint, running)
         share = self._config.dispatcher_share
         self.is_sparse = SPARSE_DISPATCHERS_PER_SLOT * self.slots_per_endpoint * share < 1.0
--- a/locktide/scheduler/state/open_attempts.py
+++ b/locktide/scheduler/state/open_attempts.py
@@ -32,17 +32,17 @@
     def count(self, attempt: Attempt) -> None:
         """Count the slots of an attempt that has no outcome yet."""
         request = attempt.request
-        request.in_flight.append(attempt)
+        request.open_attempts.append(attempt)
         self.slots += request.width
-        attempt.endpoint.in_flight += request.width
+        attempt.endpoint.slots_in_flight += request.width
 
     def close(self, attempt: Attempt, keeps_connection: bool) -> None:
         """Count an attempt as ended; its connection may be free for another one now."""
         request = attempt.request
         endpoint = attempt.endpoint
-        request.in_flight.remove(attempt)
+        request.open_attempts.remove(attempt)
         self.slots -= request.width
-        endpoint.in_flight -= request.width
+        endpoint.slots_in_flight -= request.width
         if keeps_connection:
             now = self._clock.now
             idle = [until for until in endpoint.idle_connections if until > now]
--- a/locktide/scheduler/state/request.py
+++ b/locktide/scheduler/state/request.py
@@ -22,14 +22,14 @@
         "queue_deadline",
         "not_before",
         "attempts",
-        "in_flight",
+        "open_attempts",
         "possibly_executed",
         "uncounted_attempts",
         "error_endpoints",
         "in_pool",
         "is_answered",
         "is_background",
-        "is_unprocessable",
+        "fails_anywhere",
         "is_idempotent",
         "is_at_most_once",
         "affinity_key",
@@ -48,14 +48,14 @@
         self.queue_deadline = self.deadline  # when waiting in the pool stops to pay
         self.not_before = 0  # after a worker was full: when it may be sent again
         self.attempts: list[Attempt] = []
-        self.in_flight: list[Attempt] = []  # attempts without an outcome
+        self.open_attempts: list[Attempt] = []  # those without an outcome
         self.possibly_executed: list[Attempt] = []  # attempts not proven never to have run
         self.uncounted_attempts = 0  # attempts that do not count towards the most there may be
         self.error_endpoints: list[Endpoint] = []  # not suspected ones at which it failed
         self.in_pool = False
         self.is_answered = False
         self.is_background = arrival.background
-        self.is_unprocessable = False  # it failed at two endpoints that were not suspected
+        self.fails_anywhere = False  # it has failed at two endpoints that were not suspected
         self.is_idempotent = service_class.effect == Effect.IDEMPOTENT
         self.is_at_most_once = service_class.effect == Effect.AT_MOST_ONCE
         self.affinity_key = arrival.affinity_key
@@ -90,6 +90,7 @@
         self.started_at = 0  # 0 until its worker reports the start
         self.last_heard_at = 0  # when its worker last reported its start or progress
         # Whether it took what the concurrency limit had left.
-        self.filled_limit = endpoint.in_flight + request.width > endpoint.concurrency_limit - 1
+        self.filled_limit = endpoint.slots_in_flight + request.width > endpoint.concurrency_limit - 1
+        # Whether an earlier attempt may have run; one after a worker that was full is no retry in this sense.
         self.is_retry = bool(request.possibly_executed)
         self.failure_recorded = False  # whether it has made its endpoint suspected
--- a/locktide/scheduler/state/request_pool.py
+++ b/locktide/scheduler/state/request_pool.py
@@ -36,7 +36,7 @@
     def close(self, request: Request) -> None:
         """Count the request as answered; it is forgotten at the end of its last attempt."""
         request.is_answered = True
-        if not request.in_flight:
+        if not request.open_attempts:
             self.open.pop(request.id, None)
         self.leave(request)
 
