--- a/locktide/dispatcher/callbacks.py
+++ b/locktide/dispatcher/callbacks.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 
 from locktide.dispatcher.cancellation import CancellationService
 from locktide.dispatcher.completion import AttemptCompletion
@@ -39,7 +40,7 @@
                 AttemptProgressed(message.request_id, attempt.number, message.fraction_done)
             )
         elif message.outcome is AttemptOutcome.DONE:
-            self.registry.respond(message.request_id, Response(200, message.result))
+            self.registry.respond(message.request_id, Response(HTTPStatus.OK, message.result))
             self.completion.finish(request, attempt, message.outcome)
         elif message.outcome is not None:
             self._finish_unsuccessful(request, attempt, message.outcome)
--- a/locktide/dispatcher/dispatcher.py
+++ b/locktide/dispatcher/dispatcher.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 
 from locktide.config.address import Address
 from locktide.config.start import Start
@@ -294,4 +295,4 @@
 
     def query_job(self, message: JobQuery) -> Response:  # noqa: ARG002 - without a job store there are no jobs
         """Respond that there is no such job."""
-        return Response(404, b"no such job\n")
+        return Response(HTTPStatus.NOT_FOUND, b"no such job\n")
--- a/locktide/dispatcher/failure_responses.py
+++ b/locktide/dispatcher/failure_responses.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 
 from locktide.dispatcher.cancellation import CancellationService
 from locktide.dispatcher.registry import RequestRegistry
@@ -26,11 +27,13 @@
         headers = []
         if command.retry_after:
             headers.append((names.RETRY_AFTER, f"{command.retry_after / MICROSECONDS_PER_SECOND:.3f}"))
-        self.registry.respond(command.request_id, Response(503, b"denied\n", headers))
+        self.registry.respond(
+            command.request_id, Response(HTTPStatus.SERVICE_UNAVAILABLE, b"denied\n", headers)
+        )
 
     def fail(self, command: FailRequest) -> None:
         """Respond that the request has failed."""
-        self.registry.respond(command.request_id, Response(502, b"terminated\n"))
+        self.registry.respond(command.request_id, Response(HTTPStatus.BAD_GATEWAY, b"terminated\n"))
 
     def fail_after_internal_error(self, command: ReportInternalError) -> None:
         """Respond at once to the request on which the scheduler failed, and cancel its attempts."""
@@ -38,5 +41,5 @@
         self.log.emit(f"the scheduler failed: {error}", event="scheduler_failed", error=error)
         request = None if command.request_id is None else self.registry.get(command.request_id)
         if request is not None:
-            self.registry.respond(request.message.id, Response(502, b"terminated\n"))
+            self.registry.respond(request.message.id, Response(HTTPStatus.BAD_GATEWAY, b"terminated\n"))
             self.cancellations.cancel_unfinished(request)
--- a/locktide/dispatcher/request_timeouts.py
+++ b/locktide/dispatcher/request_timeouts.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 
 from locktide.dispatcher.cancellation import CancellationService
 from locktide.dispatcher.completion import AttemptCompletion
@@ -54,4 +55,4 @@
             request=request_id,
         )
         self.bridge.enqueue_event(ClientDisconnected(request_id))  # so that nothing more is sent for it
-        self.registry.respond(request_id, Response(504, b"terminated\n"))
+        self.registry.respond(request_id, Response(HTTPStatus.GATEWAY_TIMEOUT, b"terminated\n"))
--- a/locktide/dispatcher/worker_replies.py
+++ b/locktide/dispatcher/worker_replies.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 
 from locktide.dispatcher.cancellation import CancellationService
 from locktide.dispatcher.completion import AttemptCompletion
@@ -65,4 +66,4 @@
             worker=attempt.worker,
             request=request_id,
         )
-        self.registry.respond(request_id, Response(400, b"turned away by a worker\n"))
+        self.registry.respond(request_id, Response(HTTPStatus.BAD_REQUEST, b"turned away by a worker\n"))
--- a/locktide/transport/client_session.py
+++ b/locktide/transport/client_session.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from functools import partial
+from http import HTTPStatus
 from typing import Any
 
 from locktide.protocol.messages import BadRequest, Callback, HealthQuery, JobQuery, Message, SubmitRequest
@@ -69,7 +70,7 @@
             connection.restart_message_timeout()
         connection.enter(ConnectionState.RECEIVING)
         if not has_arrived:
-            await self.reject(BadRequest(408, "half a message"), is_final=True)
+            await self.reject(BadRequest(HTTPStatus.REQUEST_TIMEOUT, "half a message"), is_final=True)
             return False
         return await self.consume()
 
@@ -94,7 +95,7 @@
         self.context.log.emit(
             f"clients: {stored} bytes stored, no room for more", event="memory_limit_reached", stored=stored
         )
-        await self.reject(BadRequest(500, "no room"), is_final=True)
+        await self.reject(BadRequest(HTTPStatus.INTERNAL_SERVER_ERROR, "no room"), is_final=True)
         return False
 
     async def handle(self, message: Message) -> bool:
@@ -108,13 +109,14 @@
             accepted = handler.handle_callback(message)
             if accepted is not None:
                 await accepted
-            await connection.write(Response(204))
+            await connection.write(Response(HTTPStatus.NO_CONTENT))
         elif isinstance(message, JobQuery):
             connection.mark_client()
             await connection.write(handler.query_job(message))
         elif isinstance(message, HealthQuery):
             is_healthy = not message.ready or handler.is_ready()
-            await connection.write(Response(200, b"ok\n") if is_healthy else Response(500, b"not ready\n"))
+            status = HTTPStatus.OK if is_healthy else HTTPStatus.INTERNAL_SERVER_ERROR
+            await connection.write(Response(status, b"ok\n" if is_healthy else b"not ready\n"))
         else:
             await self.reject(message)
         return True
@@ -132,11 +134,11 @@
                 event="client_limit_reached",
                 waiting=waiting,
             )
-            await connection.write(Response(500, b"no room\n"))
+            await connection.write(Response(HTTPStatus.INTERNAL_SERVER_ERROR, b"no room\n"))
             return True
         response = context.request_handler.submit(message)
         if response is None:
-            await self.reject(BadRequest(409, "this id is in use or was"))
+            await self.reject(BadRequest(HTTPStatus.CONFLICT, "this id is in use or was"))
             return True
         connection.mark_client()
         connection.store(len(message.body))
@@ -164,7 +166,9 @@
             connection.store(0)
             abandon()
         # A client sends one request at a time: what follows was meant as part of this one.
-        await self.reject(BadRequest(400, "something follows before the answer"), is_final=True)
+        await self.reject(
+            BadRequest(HTTPStatus.BAD_REQUEST, "something follows before the answer"), is_final=True
+        )
         return False
 
     def abandon(self, message: SubmitRequest, response: asyncio.Future[Response]) -> None:
--- a/locktide/transport/endpoint_watch.py
+++ b/locktide/transport/endpoint_watch.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 
 from locktide.config.address import Address, format_address
 from locktide.protocol import discovery
@@ -131,7 +132,7 @@
         writer.writelines(http.encode_request(discovery.list_request(self.version, wait_ms)))
         async with asyncio.timeout(timeout):
             response = await read_response(reader, http)
-        if response.status != 200:
+        if response.status != HTTPStatus.OK:
             raise ProtocolError(f"status {response.status}", peer=format_address(self.address))
         return discovery.parse(response.body)
 
--- a/locktide/transport/upstream_connection.py
+++ b/locktide/transport/upstream_connection.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
+from http import HTTPStatus
 
 from locktide.config.address import Address, format_address
 from locktide.protocol.client_connection import ClientHttpConnection, UpstreamRequest, UpstreamResponse
@@ -88,7 +89,7 @@
     async def read_response(self) -> UpstreamResponse:
         """Read the response; raise OSError or ProtocolError."""
         response = await read_response(self.reader, self.http)
-        if response.status != 202:
+        if response.status != HTTPStatus.ACCEPTED:
             self.reusable_at = asyncio.get_running_loop().time() + DUPLICATE_RESPONSE_WINDOW
         return response
 
