--- a/locktide/cluster/dispatcher_link.py
+++ b/locktide/cluster/dispatcher_link.py
@@ -10,8 +10,8 @@
 from locktide.cluster.quota.allocation import WHOLE
 from locktide.scheduler.events import ConfigReloaded, QuotaSharesUpdated, QuotaStage, RequestArrived
 
-#: For how long the scheduler takes a tenant to be over its share, in microseconds: it is notified with each
-#: change, and where no update comes for so long no tenant is.
+#: For how long the scheduler takes a tenant to be over its share, in microseconds from the last update.
+#: Updates come with changes only, so a set of tenants that stays the same counts for so long.
 OVER_SHARE_VALIDITY = 5_000_000
 #: Later than any time of any clock, in microseconds.
 FOREVER = 1 << 62
@@ -87,6 +87,7 @@
             self.member.ledger.usage.observe(event)
         if type(event) is RequestArrived and event.tenant in self.quota_names:
             previous_wakeup = self.member.next_wakeup
+            # Counts the demand. The tokens that it takes are for checks: the scheduler has its own buckets.
             self.member.spend(event.tenant, self.host.now())
             if self.member.next_wakeup < previous_wakeup:
                 self.host.schedule_wakeup()  # demand after a pause is reported to the leader at once
--- a/locktide/cluster/quota/allocation.py
+++ b/locktide/cluster/quota/allocation.py
@@ -10,7 +10,8 @@
 #: Fraction of the divisible part that is spread evenly over all members, so that one whose demand begins has
 #: something beside its guaranteed minimum until the next division. More of it is missing where demand is.
 EVEN_FRACTION = 0.05
-#: Fraction of its way to the target that a share makes at each division, three times a second: it has arrived
+#: Fraction of its way to the target that a share makes at each division, at most one in half a request
+#: interval: it has arrived
 #: after a second, and a burst of a tenth of one at one member does not take everything from the others.
 DAMPING = 0.7
 #: Least change of a share, as a fraction of an even one: each change costs the burst that moves with it.
--- a/locktide/dispatcher/shutdown.py
+++ b/locktide/dispatcher/shutdown.py
@@ -15,9 +15,9 @@
 
 #: Seconds for which connections are accepted after SIGTERM: clients open new ones for 0.4 s.
 ACCEPT_AFTER_STOP = 0.5
-#: A kill comes no sooner after SIGTERM than the longest timeout, or so many seconds where that is less ...
+#: A kill comes no sooner after SIGTERM than the smaller of this and the longest timeout, in seconds ...
 SHUTDOWN_TIMEOUT = 3.0
-#: ... and so many seconds more. Requests of the first half second may be open at the kill, later ones not.
+#: ... and this many seconds more. Requests of the first half second may be open at the kill, later ones not.
 SHUTDOWN_EXTRA = 0.7
 #: Seconds between two checks whether a shutdown is over.
 CHECK_INTERVAL = 0.02
--- a/locktide/durable/job_dispatcher.py
+++ b/locktide/durable/job_dispatcher.py
@@ -15,7 +15,7 @@
 
 
 class JobDispatcher:
-    """Submits and resumes durable jobs at the dispatcher; nothing else of `durable` calls it."""
+    """Submits and resumes durable jobs at the dispatcher; `JobService` forwards other requests itself."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
--- a/locktide/durable/job_states.py
+++ b/locktide/durable/job_states.py
@@ -14,7 +14,7 @@
     OPEN = "open"
     DONE = "done"
     REJECTED = "rejected"  # it ended before it may have run
-    FAILED = "failed"  # it ended after it may have run
+    FAILED = "failed"  # any other ending
 
 
 #: The platform's word for each state: in the `Job-State` header, in the JSON of `GET /jobs/ID` and in
--- a/locktide/durable/leases.py
+++ b/locktide/durable/leases.py
@@ -44,8 +44,8 @@
     """How long a worker may be silent.
 
     Attributes:
-        start_timeout: Microseconds from the attempt to the report that the job has started. It is longer, as
-            the job may wait in the worker's queue.
+        start_timeout: Microseconds from the attempt to the report that the job has started. It should be
+            longer than `heartbeat_timeout`, as the job may wait in the worker's queue.
         heartbeat_timeout: Microseconds between two reports on a job that has started.
     """
 
--- a/locktide/transport/interfaces.py
+++ b/locktide/transport/interfaces.py
@@ -34,7 +34,10 @@
         """Return the response to come; None where a request with that id is open, or was."""
 
     def client_disconnected(self, message: SubmitRequest) -> None:
-        """Take the notice that nobody waits for the response any more."""
+        """Take the notice that nobody waits for the response any more.
+
+        A dispatcher cancels the request; a durable job goes on.
+        """
 
     def handle_callback(self, message: Callback) -> Awaitable[None] | None:
         """Take a callback; where something to await is returned, the worker gets its response after that."""
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -223,7 +223,10 @@
 
 
 def test_requests_admitted_under_a_loan_that_ends_wait_as_over_quota_or_are_rejected() -> None:
-    """Nobody is ready, so all wait; what may have run is never withdrawn for it, as nothing of it is out."""
+    """Requests that wait were admitted under a loan, and the loan ends, as its lender is busy again.
+
+    They must wait no longer than requests beyond their tenant's quota from then on, and be rejected then.
+    """
     lent = [QuotaStage(1 << 62, {"dairy": 0.0}, {"dairy": 1.0})]
     made = Checked(fleet=1)
     made.turn(QuotaSharesUpdated(lent))
--- a/tests/durable/test_job_states.py
+++ b/tests/durable/test_job_states.py
@@ -1,4 +1,4 @@
-"""The platform's words for the states of a job: complete both ways, and read by clients."""
+"""The platform's words for the states of a job: complete, distinct, and read by clients."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from locktide.durable.job_states import JOB_STATE_WORDS, JobState, state_of_final_response
 
 
-def test_each_job_state_has_one_word_and_back() -> None:
+def test_each_job_state_has_a_word_of_its_own() -> None:
     assert set(JOB_STATE_WORDS) == set(JobState)
     assert len(set(JOB_STATE_WORDS.values())) == len(JobState)
     words = {state.name: word for state, word in JOB_STATE_WORDS.items()}
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -69,49 +69,67 @@
 Outcomes: TypeAlias = list[AttemptOutcome]
 GRADES = [
     ServiceClass(
-        "view", Effect.IDEMPOTENT, DeduplicationScope.FLEET, 0, 250_000, 2.0, 3_000_000, 5.0, 0.5, None
+        name="view",
+        effect=Effect.IDEMPOTENT,
+        deduplication_scope=DeduplicationScope.FLEET,
+        deduplication_window=0,
+        latency_objective=250_000,
+        stretch=2.0,
+        timeout=3_000_000,
+        priority_weight=5.0,
+        overdue_weight=0.5,
+        worker_type=None,
     ),
     ServiceClass(
-        "record",
-        Effect.IDEMPOTENT_WITH_KEY,
-        DeduplicationScope.CELL,
-        4_000_000,
-        900_000,
-        2.0,
-        6_000_000,
-        9.0,
-        0.5,
-        None,
+        name="record",
+        effect=Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_window=4_000_000,
+        latency_objective=900_000,
+        stretch=2.0,
+        timeout=6_000_000,
+        priority_weight=9.0,
+        overdue_weight=0.5,
+        worker_type=None,
     ),
     ServiceClass(
-        "zoned",
-        Effect.IDEMPOTENT_WITH_KEY,
-        DeduplicationScope.ZONE,
-        4_000_000,
-        900_000,
-        2.0,
-        6_000_000,
-        9.0,
-        0.5,
-        None,
+        name="zoned",
+        effect=Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window=4_000_000,
+        latency_objective=900_000,
+        stretch=2.0,
+        timeout=6_000_000,
+        priority_weight=9.0,
+        overdue_weight=0.5,
+        worker_type=None,
     ),
     ServiceClass(
-        "close",
-        Effect.IDEMPOTENT_WITH_KEY,
-        DeduplicationScope.FLEET,
-        4_000_000,
-        900_000,
-        2.0,
-        6_000_000,
-        9.0,
-        0.5,
-        None,
+        name="close",
+        effect=Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.FLEET,
+        deduplication_window=4_000_000,
+        latency_objective=900_000,
+        stretch=2.0,
+        timeout=6_000_000,
+        priority_weight=9.0,
+        overdue_weight=0.5,
+        worker_type=None,
     ),
     ServiceClass(
-        "cash", Effect.AT_MOST_ONCE, DeduplicationScope.FLEET, 0, 300_000, 2.0, 5_000_000, 7.0, 0.5, None
+        name="cash",
+        effect=Effect.AT_MOST_ONCE,
+        deduplication_scope=DeduplicationScope.FLEET,
+        deduplication_window=0,
+        latency_objective=300_000,
+        stretch=2.0,
+        timeout=5_000_000,
+        priority_weight=7.0,
+        overdue_weight=0.5,
+        worker_type=None,
     ),
 ]
-COLD = SlowStartConfig(4.0, 1_000_000, 0.3, 8_000_000)
+COLD = SlowStartConfig(overload_factor=4.0, window=1_000_000, initial_capacity=0.3, warmup=8_000_000)
 
 
 def listed(
@@ -134,21 +152,27 @@
     prices: CostConfig | None = None,
 ) -> SchedulerConfig:
     return SchedulerConfig(
-        STEP,
-        fleet,
-        [replace(grade) for grade in GRADES],
-        RetryConfig(most, True),
-        ClientConfig(2_000_000),
-        QuotaConfig({"dairy": 5.0}, 0.1),
-        ObjectiveConfig(worst_grade),
-        COLD,
-        EndpointListConfig(must_ask, 10_000_000, live),
-        ProgressConfig(True, 1_000_000),
-        prices or CostConfig(),
+        round_interval=STEP,
+        dispatcher_count=fleet,
+        service_classes=[replace(grade) for grade in GRADES],
+        retry=RetryConfig(max_attempts=most, can_cancel=True),
+        clients=ClientConfig(max_retry_after=2_000_000),
+        quotas=QuotaConfig(quotas={"dairy": 5.0}, beyond_quota_weight=0.1),
+        objective=ObjectiveConfig(worst_class_weight=worst_grade),
+        slow_start=COLD,
+        endpoint_list=EndpointListConfig(polled=must_ask, poll_within=10_000_000, live_ratings=live),
+        progress=ProgressConfig(reports_start=True, report_interval=1_000_000),
+        costs=prices or CostConfig(),
     )
 
 
 class Checked:
+    """A scheduler whose commands are checked against the four rules, with a clock that the test moves.
+
+    `turn` hands it events and returns its commands; `arrive`, `end`, `list` and `pass_time` make the usual
+    ones.
+    """
+
     def __init__(
         self,
         seed: int = 1,
