--- a/locktide/durable/leases.py
+++ b/locktide/durable/leases.py
@@ -66,7 +66,6 @@
         job_id: The job.
         fence: Its fencing number, which is greater than that of each earlier lease of the job.
         worker: Name of the worker.
-        granted_at: When it was granted, in microseconds.
         expires_at: When it ends unless the worker reports, in microseconds.
         has_started: Whether the worker has reported that the job runs.
         has_ended: Whether it has ended, by a final report, by its time or with its attempt.
@@ -75,7 +74,6 @@
     job_id: str
     fence: int
     worker: str
-    granted_at: int
     expires_at: int
     has_started: bool = False
     has_ended: bool = False
@@ -120,7 +118,6 @@
             job_id=job_id,
             fence=max([last_fence, *earlier_fences]) + 1,
             worker=worker,
-            granted_at=now,
             expires_at=now + self.config.start_timeout,
         )
         earlier_leases.append(lease)
--- a/locktide/durable/recovery.py
+++ b/locktide/durable/recovery.py
@@ -153,7 +153,6 @@
             job_id=granted.job_id,
             fence=granted.fence,
             worker=granted.worker,
-            granted_at=granted.recorded_at + self.offset,
             expires_at=granted.expires_at + self.offset,
         )
         self.leases.take_over(lease, self.now)
--- a/tests/durable/test_leases.py
+++ b/tests/durable/test_leases.py
@@ -155,8 +155,8 @@
     report, and a lease that lasts longer must keep its time.
     """
     leases = LeaseTable(LEASE_CONFIG)
-    leases.take_over(Lease("a", 1, "x", granted_at=0, expires_at=20 * SECOND), now=60 * SECOND)
-    leases.take_over(Lease("b", 1, "x", granted_at=50 * SECOND, expires_at=70 * SECOND), now=60 * SECOND)
+    leases.take_over(Lease("a", 1, "x", expires_at=20 * SECOND), now=60 * SECOND)
+    leases.take_over(Lease("b", 1, "x", expires_at=70 * SECOND), now=60 * SECOND)
     assert not leases.expire(65 * SECOND - 1)
     assert [lease.job_id for lease in leases.expire(65 * SECOND)] == ["a"]
     assert [lease.job_id for lease in leases.expire(70 * SECOND)] == ["b"]
