--- a/locktide/dispatcher/settings.py
+++ b/locktide/dispatcher/settings.py
@@ -15,8 +15,8 @@
 #: discovery has it and can be reached, whatever became of a call.
 NOTIFIED_WITHIN = 6_000_000
 #: Part of the slow-start budget of a worker that all dispatchers together plan to use. They draw without
-#: knowledge of each other, and work differs by worker type and request: with the whole budget planned, bursts
-#: of thirty dispatchers went over the overload limit too often (tests/scheduler/test_slow_start.py).
+#: knowledge of each other, and work differs by worker type and request: the rest is for requests that
+#: fall together by chance (tests/scheduler/test_slow_start.py).
 SLOW_START_MARGIN = 0.75
 
 
