--- a/locktide/scheduler/commands.py
+++ b/locktide/scheduler/commands.py
@@ -1,7 +1,8 @@
-"""Commands: what the scheduler has its host execute.
+"""Commands: what the host executes for the scheduler.
 
-Times are in microseconds. Commands are not modified once they are built. Those of which there are several per
-request are not declared frozen: a frozen dataclass of three fields took 1.4 us to build, a plain one 0.4 us.
+Times are in microseconds. Commands are not modified after their construction. Types with several commands per
+request are still not declared frozen: building a frozen dataclass of three fields took 1.4 us, a plain one
+0.4 us.
 """
 
 from __future__ import annotations
@@ -22,7 +23,8 @@
     Attributes:
         request_id: the request to send.
         worker: the worker to send it to.
-        send_before: no byte of the attempt may be sent from this time on; 0 where only the deadline counts.
+        send_before: time from which on no byte of the attempt may be sent; 0: only the deadline of the
+            request applies.
     """
 
     request_id: RequestId
@@ -32,7 +34,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancels an attempt that is in flight; its end is still reported, whatever its outcome.
+    """Cancels an attempt that is in flight; the host still reports its end and outcome.
 
     Attributes:
         request_id: the request of the attempt.
@@ -49,7 +51,7 @@
 
     Attributes:
         request_id: the request to reject.
-        retry_after: how long the client is advised to wait, in microseconds; 0: no advice.
+        retry_after: the advised wait before the client retries, in microseconds; 0: no advice.
     """
 
     request_id: RequestId
@@ -69,11 +71,11 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Asks for one `TimerFired`.
+    """Sets a timer, for which the host reports one `TimerFired`.
 
     Attributes:
         delay: time until the timer fires, in microseconds.
-        timer_id: what `TimerFired` has to carry.
+        timer_id: the id to report in `TimerFired`.
     """
 
     delay: int
@@ -96,7 +98,7 @@
     """Starts or stops following the endpoint list.
 
     Attributes:
-        enabled: whether to follow it.
+        enabled: whether to follow the list.
     """
 
     enabled: bool
@@ -104,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Fetches the endpoint list once. No policy commands it; the simulator's wire has a message for it."""
+    """Fetches the endpoint list once. No policy uses it; the simulator's protocol has a message for it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,8 +114,8 @@
     """Reports an event whose handling raised an exception; the event has no further effect.
 
     Attributes:
-        request_id: the request that the event concerned. The host responds to it, as no command concerning it
-            will follow. None where the event concerned no request.
+        request_id: the request that the event concerned; None if it concerned no request. The host has to
+            respond to this request, as the scheduler issues no further command for it.
         detail: the end of the traceback.
     """
 
@@ -123,10 +125,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """Write an event to the log.
+    """Writes an event to the log.
 
     Attributes:
-        event: the event, with its id and fields; the host makes the text.
+        event: the event with its id and fields; the host formats the text.
     """
 
     event: LogEvent
--- a/locktide/scheduler/config.py
+++ b/locktide/scheduler/config.py
@@ -1,4 +1,4 @@
-"""Configuration of the scheduler, given at its start and at a reload; spans are in microseconds."""
+"""Configuration of the scheduler, passed at its start and at each reload; time spans are in microseconds."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """What all requests of one class have in common.
+    """Guarantees and limits that all requests of one class share.
 
     Attributes:
-        name: the name that requests give.
-        effect: how far a request may be repeated.
-        deduplication_scope: which workers drop a repeat, where requests carry an idempotency key.
-        deduplication_window: how long after the first attempt they drop it, in microseconds.
-        latency_objective: within what time a response is on time, in microseconds, before `stretch` is added.
-        stretch: by what multiple of its run time the latency objective of a request grows.
+        name: the name by which requests refer to the class.
+        effect: whether a request may be sent more than once.
+        deduplication_scope: which workers drop repeats, if requests carry an idempotency key.
+        deduplication_window: how long after the first attempt workers drop repeats, in microseconds.
+        latency_objective: the time within which a response is on time, in microseconds, before `stretch` is
+            added.
+        stretch: multiple of a request's run time that is added to its latency objective.
         timeout: the longest time until the response, in microseconds.
-        priority_weight: what a response on time is worth.
-        overdue_weight: what a later one is worth.
-        worker_type: the one worker type that runs the class; None: any.
+        priority_weight: the value of a response on time.
+        overdue_weight: the value of a response after the latency objective.
+        worker_type: the only worker type that can run the class; None: any.
         allowed_worker_types: the worker types that its requests may be sent to; None: all.
         allowed_zones: the zones that its requests may be sent to; None: all.
     """
@@ -42,9 +43,9 @@
 
     @property
     def placement(self) -> PlacementConstraint | None:
-        """The worker types and zones that it is confined to; None where it may go anywhere.
+        """The worker types and zones to which the class is confined; None if it may run anywhere.
 
-        Equal for service classes that are confined alike.
+        Service classes with the same constraint return equal values.
         """
         worker_types = (
             self.allowed_worker_types if self.worker_type is None else frozenset([self.worker_type])
@@ -56,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryConfig:
-    """How often and how one request may be attempted.
+    """How often a request may be attempted, and what is done with its attempts.
 
     Attributes:
-        max_attempts: the most attempts of one request, the first included.
+        max_attempts: the maximum number of attempts of one request, including the first.
         can_cancel: whether an attempt in flight may be cancelled.
         counts_unsent: whether an attempt whose last byte was never sent counts as one of `max_attempts`.
     """
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientConfig:
-    """What clients may be advised.
+    """Advice that clients may get with a rejection.
 
     Attributes:
         max_retry_after: the longest wait that a rejection may advise, in microseconds; 0: no advice.
@@ -86,7 +87,7 @@
 
     Attributes:
         quotas: requests per second that each tenant may send to all dispatchers together.
-        beyond_quota_weight: what a request beyond its tenant's quota is worth, relative to one within it.
+        beyond_quota_weight: the value of a request beyond its tenant's quota, relative to one within it.
     """
 
     quotas: Mapping[TenantId, float]
@@ -95,10 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectiveConfig:
-    """What the service is measured by.
+    """How the result of the service is measured.
 
     Attributes:
-        worst_class_weight: how much of the result the worst-served service class decides, from 0 to 1.
+        worst_class_weight: weight of the worst-served service class in the result, from 0 to 1.
     """
 
     worst_class_weight: float
@@ -106,15 +107,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartConfig:
-    """When a freshly started worker is overloaded.
+    """How much load a worker can take while it is warming up.
 
     Attributes:
-        overload_factor: how many times its present capacity it may be sent within a window.
+        overload_factor: how many times its present capacity a worker may be sent within a window.
         window: the length of that window, in microseconds.
-        initial_capacity: its capacity at its start, as a fraction of that of a warm worker.
-        warmup: how long it takes until it is warm, in microseconds; 0: it starts warm.
-        margin: the fraction of that limit that all dispatchers together may plan to send, below 1 where run
-            times and draws that differ by chance have to be allowed for.
+        initial_capacity: capacity of a worker at its start, as a fraction of that of a warm worker.
+        warmup: time from its start until a worker is warm, in microseconds; 0: it starts warm.
+        margin: the fraction of that limit that all dispatchers together may plan to send; below 1 to allow
+            for random variation of run times and draws.
     """
 
     overload_factor: float
@@ -126,17 +127,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListConfig:
-    """How the endpoint list is obtained.
+    """How the endpoint list is obtained and what its ratings mean.
 
     Attributes:
-        polled: whether the list is fetched at the scheduler's command; else updates are pushed.
-        poll_within: within what time after its start each dispatcher should fetch it, in microseconds.
-        live_ratings: whether ratings fall with the load of a worker, as size / (1 + requests held per core)
-            of some time ago; else they state its size.
-        close_idle_within: within what time idle connections to a draining worker have to be closed, in
-            microseconds; 0: they may stay.
-        notified_within: how long after a change could be fetched the dispatcher counts as notified of it,
-            whatever became of its fetches, in microseconds; 0: no such limit.
+        polled: whether the scheduler commands each fetch of the list; otherwise updates are pushed.
+        poll_within: time after its start within which each dispatcher should fetch the list, in microseconds.
+        live_ratings: whether ratings fall with the load of a worker, as size / (1 + requests per core), with
+            some delay; otherwise they state the size of the worker.
+        close_idle_within: time within which idle connections to a draining worker have to be closed, in
+            microseconds; 0: they may stay open.
+        notified_within: how long after a change can be fetched the dispatcher counts as notified of it,
+            whether or not its fetches succeeded, in microseconds; 0: no such limit.
     """
 
     polled: bool
@@ -148,13 +149,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CostConfig:
-    """What an attempt costs beside its work, as fractions of what a usual request earns.
+    """Costs of an attempt in addition to its work, as fractions of the value of a usual request.
 
     Attributes:
         connection: the cost of a new connection.
-        cross_zone: the cost of a worker in another zone.
+        cross_zone: the cost of sending to a worker in another zone.
         zone: the zone of this dispatcher.
-        idle_timeout: after what idle time workers close a connection, in microseconds.
+        idle_timeout: idle time after which workers close a connection, in microseconds.
     """
 
     connection: float = 0.0
@@ -165,11 +166,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgressConfig:
-    """What workers report of a running job.
+    """What workers report about running jobs.
 
     Attributes:
-        reports_start: whether they report its start.
-        report_interval: the time between two reports of its progress, in microseconds; 0: none.
+        reports_start: whether workers report the start of a job.
+        report_interval: the time between two progress reports of a job, in microseconds; 0: no reports.
     """
 
     reports_start: bool
@@ -178,20 +179,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerConfig:
-    """What a scheduler is configured with at its start and at a reload.
+    """The complete configuration of a scheduler.
 
     Attributes:
-        round_interval: time between two rounds of the pool, in microseconds.
-        dispatcher_count: dispatchers that share the workers, this one included.
+        round_interval: time between two rounds, in microseconds.
+        dispatcher_count: the number of dispatchers that share the workers, including this one.
         service_classes: the service classes that requests may name; at least one.
-        retry: how often and how a request may be attempted.
-        clients: what clients may be advised.
+        retry: how often a request may be attempted.
+        clients: advice that clients may get with a rejection.
         quotas: request rates granted to tenants.
-        objective: what the service is measured by.
-        slow_start: how little a freshly started worker takes.
-        endpoint_list: how the list of workers is obtained.
-        progress: what workers report of a running job.
-        costs: what an attempt costs beside its work.
+        objective: how the result of the service is measured.
+        slow_start: how much load a worker can take while it is warming up.
+        endpoint_list: how the endpoint list is obtained.
+        progress: what workers report about running jobs.
+        costs: costs of an attempt in addition to its work.
     """
 
     round_interval: int
--- a/locktide/scheduler/estimators/decaying_sum.py
+++ b/locktide/scheduler/estimators/decaying_sum.py
@@ -1,4 +1,4 @@
-"""A sum in which old amounts count ever less."""
+"""A sum whose amounts decay exponentially with time."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class DecayingSum:
-    """A sum that decays by 1/e in each `span`, brought up to date when it is read or added to.
+    """A sum that decays to 1/e of its value in each `span`; it is updated when it is read or added to.
 
-    Reading it changes how its later decay is rounded, so a decision that is to be played again has to read it
-    at the same moments.
+    Reading it affects the rounding of its later decay, so a replayed decision has to read it at the same
+    times.
 
     Attributes:
-        span: the time in which an amount decays by 1/e, in microseconds.
+        span: the time in which an amount decays to 1/e, in microseconds.
         total: the sum as of `updated_at`.
-        updated_at: when it was last brought up to date, in microseconds.
+        updated_at: when the sum was last updated, in microseconds.
     """
 
     __slots__ = ("span", "total", "updated_at")
@@ -25,14 +25,14 @@
         self.updated_at = 0
 
     def read(self, now: int) -> float:
-        """Return the sum as decayed until now."""
+        """Return the sum, decayed until now."""
         if now != self.updated_at:
             self.total *= exp((self.updated_at - now) / self.span)
             self.updated_at = now
         return self.total
 
     def peek(self, now: int) -> float:
-        """Return the same as `read`, and leave the rounding of later decay as it is."""
+        """Return the same as `read`, without affecting the rounding of later decay."""
         return self.total * exp((self.updated_at - now) / self.span)
 
     def add(self, amount: float, now: int) -> None:
--- a/locktide/scheduler/estimators/random.py
+++ b/locktide/scheduler/estimators/random.py
@@ -10,15 +10,15 @@
 MULTIPLIER = 6364136223846793005
 INCREMENT = 1442695040888963407
 MASK_64_BITS = 0xFFFFFFFFFFFFFFFF
-#: Probabilities are compared with draws below this number.
+#: Number of steps between the probabilities 0 and 1.
 PROBABILITY_STEPS = 1 << 20
 
 
 class LinearCongruentialGenerator:
-    """A linear congruential generator of 64 bits, of which only the upper 32 are used.
+    """A linear congruential generator with 64 bits of state, of which only the upper 32 are used.
 
     Attributes:
-        state: the number that the next draw is computed from.
+        state: the number from which the next draw is computed.
     """
 
     __slots__ = ("state",)
@@ -27,7 +27,7 @@
         self.state = seed & MASK_64_BITS
 
     def below(self, bound: int) -> int:
-        """Draw a whole number from 0 to `bound` - 1, each equally likely; `bound` is at most 2**32."""
+        """Draw an integer from 0 to `bound` - 1 uniformly; `bound` is at most 2**32."""
         self.state = (self.state * MULTIPLIER + INCREMENT) & MASK_64_BITS
         return ((self.state >> 32) * bound) >> 32
 
@@ -36,7 +36,7 @@
         return self.below(PROBABILITY_STEPS) < probability * PROBABILITY_STEPS
 
     def weighted_index(self, weights: Sequence[float]) -> int:
-        """Draw an index, each with a probability proportional to its weight."""
+        """Draw an index with a probability proportional to its weight."""
         sums = list(accumulate(weights))
         drawn = sums[-1] * self.below(PROBABILITY_STEPS) / PROBABILITY_STEPS
         return min(len(sums) - 1, bisect(sums, drawn))
--- a/locktide/scheduler/estimators/rendezvous_orders.py
+++ b/locktide/scheduler/estimators/rendezvous_orders.py
@@ -6,19 +6,19 @@
 from locktide.scheduler.estimators.rendezvous import SaltedT, rendezvous_order
 
 GroupT = TypeVar("GroupT", bound=Hashable)
-#: Orders that are cached at once. Bounds the memory where each request has a key of its own.
+#: Maximum number of cached orders. Limits the memory if each request has a different key.
 MAX_ORDERS = 1024
 
 
 class RendezvousOrders(Generic[GroupT, SaltedT]):
-    """Computes the order of each group of candidates for each key once."""
+    """Computes and caches the order of each group of candidates for each key."""
 
     def __init__(self) -> None:
         self._groups: Mapping[GroupT, list[SaltedT]] = {}
         self._orders: dict[tuple[int, GroupT], list[SaltedT]] = {}
 
     def order(self, groups: Mapping[GroupT, list[SaltedT]], group: GroupT, key: int) -> list[SaltedT]:
-        """Return the candidates of a group in the key's order; `groups` is another object after a change."""
+        """Return the candidates of a group in the key's order; each change needs a new `groups` object."""
         if groups is not self._groups:
             self._groups = groups
             self._orders = {}
--- a/locktide/scheduler/estimators/run_time.py
+++ b/locktide/scheduler/estimators/run_time.py
@@ -1,4 +1,4 @@
-"""How long the requests of a service class run."""
+"""Estimates the run time of the requests of a service class."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from locktide.scheduler.estimators.decaying_sum import DecayingSum
 
-#: Decay of the sums, in microseconds: long enough for some tens of ends at ten a second, short enough to
-#: follow a slowdown of all workers.
+#: Decay time of the sums, in microseconds: long enough for some tens of completed runs at ten per second,
+#: short enough to follow a slowdown of all workers.
 SPAN = 10_000_000
-#: Decayed number of ends below which the mean is not taken from them.
+#: Decayed number of completed runs up to which the mean is not computed from them.
 FEWEST_FOR_MEAN = 0.1
-#: Decayed number of ends below which no run counts as long.
+#: Decayed number of completed runs below which no run counts as long.
 FEWEST_FOR_DEVIATION = 5.0
-#: Standard deviations over the mean from which a run counts as long.
+#: Standard deviations above the mean from which a run counts as long.
 LONG_DEVIATIONS = 3.0
-#: What counts as long while few ends are known, in microseconds: more than any run.
+#: Long run time while few completed runs are known, in microseconds: more than any run takes.
 NEVER_LONG = 1e12
-#: Least mean, in microseconds: a start and an end that are reported together make a run time of zero.
+#: Minimum mean, in microseconds: a start and an end that are reported together give a run time of zero.
 MIN_MEAN = 1.0
 
 
@@ -25,7 +25,7 @@
     """The run times of a service class over all workers, from start to successful end, in microseconds.
 
     Attributes:
-        initial_estimate: what counts as the mean while no end and no hint is known, in microseconds.
+        initial_estimate: the mean while no completed run and no hint is known, in microseconds.
     """
 
     def __init__(self, initial_estimate: int) -> None:
@@ -41,20 +41,20 @@
         self._count.add(1.0, now)
 
     def mean(self, now: int, hint: int = 0) -> float:
-        """Return the mean of the ends of about the last `SPAN`.
+        """Return the mean of the runs completed within about the last `SPAN`.
 
-        While no end is known that is the hint, or the initial estimate without one.
+        While no completed run is known, return the hint, or the initial estimate if there is no hint.
         """
         count = self._count.read(now)
         if count > FEWEST_FOR_MEAN:
             return max(MIN_MEAN, self._times.read(now) / count)
         return hint or self.initial_estimate
 
-    def long(self, now: int) -> float:
-        """Return the run time from which a run is longer than usual runs differ."""
+    def long_run_time(self, now: int) -> float:
+        """Return the run time from which a run is unusually long."""
         mean = self.mean(now)
         count = self._count.read(now)
-        # Read even where it is not used, as each reading changes how the later decay is rounded.
+        # Read even if it is not used, as each reading affects the rounding of the later decay.
         squares = self._squares.read(now)
         if count < FEWEST_FOR_DEVIATION:
             return NEVER_LONG
--- a/locktide/scheduler/estimators/throughput.py
+++ b/locktide/scheduler/estimators/throughput.py
@@ -1,34 +1,36 @@
-"""How fast worker types are beside each other."""
+"""Estimates the relative speeds of worker types."""
 
 from locktide.scheduler.estimators.decaying_sum import DecayingSum
 
-#: Decay of the sums, in microseconds: types keep their speeds, and one of many dispatchers sees an end only
-#: every few seconds.
+#: Decay time of the sums, in microseconds: worker types keep their speeds, and each of many dispatchers sees
+#: a completed run only every few seconds.
 SPAN = 60_000_000
-#: Ends after the usual run that count for each type before its own: a single run does not decide.
+#: Assumed completed runs with the usual run time for each type, added to its own: limits the effect of a
+#: single run.
 PRIOR_ENDS = 2.0
 
 
 class _TypeRunTimes:
-    """What the ends at one worker type have summed up to."""
+    """Sums over the completed runs of one worker type."""
 
-    __slots__ = ("ends", "relative_run_times")
+    __slots__ = ("completions", "relative_run_times")
 
     def __init__(self) -> None:
         self.relative_run_times = DecayingSum(SPAN)
-        self.ends = DecayingSum(SPAN)
+        self.completions = DecayingSum(SPAN)
 
     def mean(self, now: int) -> float:
-        """Return the mean relative run time, with the ends that count before its own."""
+        """Return the mean relative run time, including the assumed completed runs."""
         total = self.relative_run_times.read(now) + PRIOR_ENDS
-        return total / (self.ends.read(now) + PRIOR_ENDS)
+        return total / (self.completions.read(now) + PRIOR_ENDS)
 
 
 class ThroughputEstimator:
-    """Learns the speed of each worker type from how long it runs what we send there.
+    """Learns the speed of each worker type from the run times of our attempts there.
 
     Attributes:
-        relative_speeds: the speed of each type with an end, as a fraction of the fastest one's.
+        relative_speeds: the speed of each type with a completed run, as a fraction of the fastest type's
+            speed.
     """
 
     def __init__(self) -> None:
@@ -36,10 +38,10 @@
         self.relative_speeds: dict[str, float] = {}
 
     def add(self, worker_type: str, relative_run_time: float, now: int) -> None:
-        """Count an end after `relative_run_time` times the usual run."""
+        """Count a run that was completed after `relative_run_time` times the usual run time."""
         observed = self._types.setdefault(worker_type, _TypeRunTimes())
         observed.relative_run_times.add(relative_run_time, now)
-        observed.ends.add(1.0, now)
+        observed.completions.add(1.0, now)
         means = {name: each.mean(now) for name, each in self._types.items()}
         fastest = min(means.values())
         self.relative_speeds = {name: fastest / mean for name, mean in means.items()}
--- a/locktide/scheduler/estimators/token_bucket.py
+++ b/locktide/scheduler/estimators/token_bucket.py
@@ -4,11 +4,11 @@
 
 
 class TokenBucket:
-    """Tokens that are added at a rate and taken one by one.
+    """Tokens that are added at a given rate and taken one at a time.
 
     Attributes:
-        level: tokens as of `updated_at`.
-        updated_at: when it was last brought up to date, in microseconds.
+        level: the number of tokens as of `updated_at`.
+        updated_at: when the level was last updated, in microseconds.
     """
 
     __slots__ = ("level", "updated_at")
@@ -18,12 +18,12 @@
         self.updated_at = now
 
     def take(self, rate: float, capacity: float, now: int) -> bool:
-        """Take a token if there is one.
+        """Take a token if there is one; return whether there was.
 
         Args:
-            rate: tokens that have been added each second since the last call.
-            capacity: the most tokens that the bucket holds.
-            now: the present, in microseconds.
+            rate: tokens added per second since the last call.
+            capacity: the maximum number of tokens in the bucket.
+            now: the current time, in microseconds.
         """
         level = min(capacity, self.level + (now - self.updated_at) * rate / MICROSECONDS)
         has_token = level >= 1.0
--- a/locktide/scheduler/events.py
+++ b/locktide/scheduler/events.py
@@ -1,8 +1,8 @@
 """Events: what a host reports to the scheduler.
 
-Times are in microseconds of the clock that `Scheduler.step` is called with. Events are not modified once they
-are built. Those of which there are several per request, or one per listed worker, are not declared frozen: a
-frozen dataclass of three fields took 1.4 us to build, a plain one 0.4 us.
+Times are in microseconds, on the clock whose time is passed to `Scheduler.step`. Events are not modified
+after their construction. Types with several events per request or one object per listed worker are still not
+declared frozen: building a frozen dataclass of three fields took 1.4 us, a plain one 0.4 us.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One worker, as the endpoint list has it.
+    """One worker in the endpoint list.
 
     Attributes:
         worker: the worker's id.
-        zone: the zone that it is in.
-        worker_type: the type of machine that it is.
-        cell: the deduplication scope within its zone that it belongs to.
-        state: whether it takes requests.
-        rating: its capacity relative to other workers; with live ratings, what of it is free.
-        started_at: when its process started; 0 where that is unknown or long ago.
+        zone: the worker's zone.
+        worker_type: the type of machine.
+        cell: the worker's cell, the smallest deduplication scope, within its zone.
+        state: whether the worker takes requests.
+        rating: capacity relative to other workers; with live ratings, the part of it that is free.
+        started_at: when the worker's process started; 0 if that is unknown or long ago.
     """
 
     worker: WorkerId
@@ -46,11 +46,11 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """The endpoint list, changes to it, or the failure to fetch it.
+    """The endpoint list, a change to it, or a failure to fetch it.
 
     Attributes:
-        kind: which of these it is.
-        entries: all entries of a snapshot, the changed ones of a delta, none of a failure.
+        kind: whether this is a list, a change or a failure.
+        entries: all entries of a snapshot, the changed entries of a delta, no entries for a failure.
     """
 
     kind: ListUpdateKind
@@ -64,13 +64,14 @@
     Attributes:
         request_id: the host's id of the request.
         service_class: the name of its service class.
-        deadline: when the client has to have its response.
-        width: how many slots of a worker it takes.
-        work_hint: its run time as the client estimates it, in microseconds; 0: no estimate.
-        tenant: whose quota it counts against; None: nobody's.
-        is_retry: whether the client sent it before and was rejected.
-        background: whether no client waits for it: it is kept until its deadline rather than rejected.
-        affinity_key: the key that requests share which are better run on the same workers; None: no key.
+        deadline: the time by which the client must have its response.
+        width: how many slots of a worker the request takes.
+        work_hint: the client's estimate of the run time, in microseconds; 0: no estimate.
+        tenant: the tenant whose quota the request counts against; None: no quota.
+        is_retry: whether the client repeats a request that was rejected before.
+        background: whether no client waits for the response: the request is kept until its deadline rather
+            than rejected.
+        affinity_key: a key shared by requests that run better on the same workers; None: no key.
     """
 
     request_id: RequestId
@@ -86,14 +87,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredAttempt:
-    """An attempt that an earlier process of this dispatcher made, as far as it is known.
+    """What is known of an attempt that an earlier process of this dispatcher made.
 
     Attributes:
-        worker: the worker that it was sent to.
+        worker: the worker to which the attempt was sent.
         zone: the zone of the worker at that time.
         cell: the cell of the worker at that time.
-        sent_at: when it was sent; negative where that was before the zero of the clock.
-        outcome: how it ended; None while it may still run.
+        sent_at: when the attempt was sent; negative if that was before the zero of the clock.
+        outcome: how the attempt ended; None while it may still run.
     """
 
     worker: WorkerId
@@ -109,8 +110,8 @@
 
     Attributes:
         arrival: the request as it arrived.
-        arrived_at: when it arrived.
-        attempts: the attempts made so far; the numbers of further ones follow theirs.
+        arrived_at: when the request arrived.
+        attempts: the attempts made so far; the numbers of further attempts continue after them.
     """
 
     arrival: RequestArrived
@@ -120,10 +121,10 @@
 
 @dataclass(slots=True)
 class AttemptSent:
-    """The last byte of an attempt was handed to its connection.
+    """The last byte of an attempt was passed to its connection.
 
-    A host that reports this keeps its own delays from being attributed to the worker. Where it is not
-    reported, an attempt counts as sent at its command.
+    With this report, delays of the host itself are not attributed to the worker. Without it an attempt counts
+    as sent at the time of its command.
 
     Attributes:
         request_id: the request of the attempt.
@@ -136,7 +137,7 @@
 
 @dataclass(slots=True)
 class AttemptStarted:
-    """The worker reported that it started to run the request.
+    """The worker reported that it has started the request.
 
     Attributes:
         request_id: the request of the attempt.
@@ -149,7 +150,7 @@
 
 @dataclass(slots=True)
 class AttemptProgressed:
-    """The worker reported progress.
+    """The worker reported progress on the request.
 
     Attributes:
         request_id: the request of the attempt.
@@ -182,9 +183,9 @@
     Attributes:
         request_id: the request of the attempt.
         attempt: the number of the attempt.
-        outcome: how it ended.
+        outcome: how the attempt ended.
         final: whether the request itself has its response.
-        load: what the worker reported of its load, by the name of the measure.
+        load: load figures that the worker reported, by name.
     """
 
     request_id: RequestId
@@ -199,7 +200,7 @@
     """The client of a request closed its connection before it had the response.
 
     Attributes:
-        request_id: the request that nobody waits for any more.
+        request_id: the request whose client is gone.
     """
 
     request_id: RequestId
@@ -223,7 +224,7 @@
     Attributes:
         worker: the worker that was checked.
         outcome: how the check ended.
-        load: what the worker reported of its load, by the name of the measure.
+        load: load figures that the worker reported, by name.
     """
 
     worker: WorkerId
@@ -233,9 +234,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigReloaded:
-    """A configuration in place of the one before, in force from now on.
+    """A new configuration, which replaces the previous one from now on.
 
-    It holds for open requests, too; each of them keeps the service class that it arrived with.
+    It applies to open requests, too, but each of them keeps the service class with which it arrived.
 
     Attributes:
         config: the new configuration.
@@ -246,12 +247,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaStage:
-    """Shares of tenants' quotas that are in force until a given time.
+    """Shares of tenants' quotas that apply until a given time.
 
     Attributes:
-        until: when they stop being in force.
-        shares: of each tenant's quota the fraction that this dispatcher holds.
-        borrowed: of each tenant's quota the fraction that this dispatcher borrowed, beside its own share.
+        until: when the shares expire.
+        shares: the fraction of each tenant's quota that this dispatcher holds.
+        borrowed: the fraction of each tenant's quota that this dispatcher has borrowed in addition.
     """
 
     until: int
@@ -261,15 +262,15 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaSharesUpdated:
-    """This dispatcher's shares of tenants' quotas, as the dispatchers have agreed.
+    """This dispatcher's shares of tenants' quotas, as agreed between the dispatchers.
 
-    A tenant that is not named has the even share, as all have before the first such event and after its last
-    stage.
+    A tenant that is not named has the even share. So have all tenants before the first such event and after
+    the last stage of the latest one.
 
     Attributes:
-        stages: shares in the order of their times, one stage after the other.
-        over_fair_share: tenants that hold more than their fair share of a contended fleet.
-        over_fair_share_until: until when `over_fair_share` counts.
+        stages: consecutive stages in order of time.
+        over_fair_share: tenants that use more than their fair share of a contended fleet.
+        over_fair_share_until: when `over_fair_share` expires.
     """
 
     stages: list[QuotaStage]
--- a/locktide/scheduler/log_events.py
+++ b/locktide/scheduler/log_events.py
@@ -1,6 +1,7 @@
-"""Log events: what the scheduler has its host write to the log.
+"""Log events: what the host writes to the log for the scheduler.
 
-Each class is one event with an id `noun_verb` and typed fields; docs/oncall.md gives cause and action.
+Each class is one event with an id of the form `noun_verb` and typed fields. docs/oncall.md describes the
+cause of each event and what to do about it.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerSuspected:
-    """A worker is taken to be unhealthy: it is sent probes only, until it is cleared.
+    """A worker is suspected of being unhealthy; until it is cleared it is sent only probes.
 
-    `policy/outlier_detection` says what clears it; `WorkerCleared` follows then.
+    `policy/outlier_detection` lists what clears a worker. `WorkerCleared` is logged then.
 
     Attributes:
         worker: the id of the worker.
-        reason: what was observed.
+        reason: the observation that led to the suspicion.
     """
 
     event_id: ClassVar[str] = "worker_suspected"
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerCleared:
-    """A suspected worker is sent requests again: a success, a renewed rating or time has cleared it.
+    """A suspected worker is sent requests again: after a success, a changed rating, or with time.
 
     Attributes:
         worker: the id of the worker.
@@ -43,15 +44,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRejected:
-    """A request was rejected; written at most once in five seconds.
+    """A request was rejected; logged at most once in five seconds.
 
-    Either it was not sent in time, or no further attempt of it is allowed.
+    Either no worker with capacity was found in time, or no further attempt of the request is allowed.
 
     Attributes:
         service_class: the name of its service class.
-        waited_ms: how long ago it arrived, in milliseconds.
-        waiting: how many requests are in the pool.
-        slots_in_flight: how many slots all attempts in flight take.
+        waited_ms: time since the request arrived, in milliseconds.
+        waiting: the number of requests in the pool.
+        slots_in_flight: the number of slots that all attempts in flight take.
     """
 
     event_id: ClassVar[str] = "request_rejected"
@@ -66,8 +67,8 @@
     """A fetch of the endpoint list failed or timed out.
 
     Attributes:
-        failures: how many fetches have failed in a row.
-        retry_in_ms: when the next one starts, in milliseconds from now.
+        failures: the number of consecutive failed fetches.
+        retry_in_ms: time until the next fetch, in milliseconds.
     """
 
     event_id: ClassVar[str] = "endpoint_list_fetch_failed"
--- a/locktide/scheduler/policy/__init__.py
+++ b/locktide/scheduler/policy/__init__.py
@@ -1,21 +1,21 @@
-"""Every decision of locktide, for all deployments; docs/design.md gives sources, departures and figures.
+"""All decisions of locktide, for all deployments; docs/design.md gives sources, deviations and figures.
 
-The Scheduler of locktide/scheduler/scheduler.py hands each event to the policy here that it concerns,
-and then runs a round. What the policies share is in locktide/scheduler/state/, one owner a module; each
-module here begins with its rule.
+The Scheduler of locktide/scheduler/scheduler.py passes each event to the policy that handles it, and then
+runs a round. Data that the policies share is in locktide/scheduler/state/, each kind owned by one module.
+Each module here begins with its rule.
 
-The ordinary path is the design's: an aged pool, released in rounds, oldest first; in each round each request
-makes one fresh uniform draw among the ready endpoints that fit, and is sent if our own slots in flight there
-plus its width stay within the concurrency limit c, or nothing of ours is there. What comes back proven not to
-have run rejoins the pool with its age. With an affinity key the draw is among the few endpoints that are the
-key's own. Where the list's ratings follow load a drawn endpoint may decline, and the draw is made again at
-once: each is drawn in the measure of its weight, from its rating, its slow-start factor and what an attempt
-there costs beside work.
+Requests wait in a pool by age. In each round, oldest first, one endpoint is drawn for each request, uniformly
+among the ready endpoints that fit. The request is sent there if our slots in flight at this endpoint plus its
+width stay within the concurrency limit c, or if we have none in flight there. A request whose attempt is
+proven not to have run returns to the pool with its age. With an affinity key the draw is among the few
+endpoints that belong to the key. Where the ratings of the endpoint list follow load, the draw is weighted: an
+endpoint is drawn in proportion to a weight made of its rating, its slow-start factor and the costs of an
+attempt there in addition to its work.
 
-The ordinary path: `admission` and `quotas`, `rounds`, `placement` with `placement_strategy`
+Modules of the ordinary path: `admission` and `quotas`, `rounds`, `placement` with `placement_strategy`
 (`uniform_placement`, `weighted_placement` by `load_ratings`) and `affinity`, `request_lifecycle`.
 
-Beside it: `concurrency_limit`; `slow_start`; `attempt_outcomes`, which hands what is heard of attempts to
+Other modules: `concurrency_limit`; `slow_start`; `attempt_outcomes`, which passes events of attempts to
 `outlier_detection`, `attempt_timeouts` and the retries (`retries`, `retry_eligibility`, `retry_budget`);
 `load_shedding`; `endpoint_list` and `endpoint_polling`.
 """
--- a/locktide/scheduler/policy/admission.py
+++ b/locktide/scheduler/policy/admission.py
@@ -1,15 +1,15 @@
-"""Admission: how long a request that arrives may wait in the pool, and what ends one whose client leaves.
+"""Admission: sets how long an arriving request may wait, and ends requests whose client has disconnected.
 
-Every request is admitted, a new one as well as one that an earlier process had accepted. Its queue deadline
-follows from what covers it (`quotas`) and from its queue timeout (`load_shedding`), in microseconds:
+Every request is admitted, whether it is new or was accepted by an earlier process. Its queue deadline depends
+on its quota coverage (`quotas`) and its queue timeout (`load_shedding`), in microseconds:
 
-- no tenant with a quota, its tenant's own share, or a loan: the queue timeout;
-- beyond its tenant's quota: the queue timeout times `beyond_quota_weight`, as it may wait as long as it is
-  worth;
-- background: as long as its deadline allows, whatever covers it, since no client waits.
+- The tenant has no quota, or the request is covered by the tenant's own share or a loan: the queue timeout.
+- Beyond the tenant's quota: the queue timeout times `beyond_quota_weight`. The wait shrinks with the value of
+  the request.
+- Background request: as long as its deadline allows, whatever its coverage, since no client waits.
 
-A loan ends when its lender needs the quota again. What waits under one then counts as beyond its tenant's
-quota, so that the lender's requests are not kept waiting by it.
+A loan ends when its lender needs the quota again. Requests that wait under the loan then count as beyond
+their tenant's quota, so that they do not delay the lender's requests.
 """
 
 from dataclasses import dataclass, field
@@ -35,28 +35,28 @@
     lifecycle: RequestLifecycle
     shedder: LoadShedder
     quotas: TenantQuotas
-    _arrivals: int = field(default=0, init=False)  # requests admitted so far
+    _admitted_count: int = field(default=0, init=False)  # requests admitted so far
 
     def on_arrival(self, event: RequestArrived) -> None:
-        """Admit a request of a client."""
+        """Admit a new request."""
         self.lifecycle.begin(self._admit(event))
 
     def on_recovery(self, event: RequestRecovered) -> None:
-        """Admit a request that an earlier process had accepted, with the attempts it made."""
+        """Admit a request that an earlier process had accepted, and restore its attempts."""
         request = self._admit(event.arrival)
         request.arrived_at = event.arrived_at
         self.recovery.restore(request, event.attempts)
-        request.queue_deadline = self.shedder.end_of_repeats(request)  # now that it has attempts
+        request.queue_deadline = self.shedder.repeat_deadline(request)  # depends on the restored attempts
         self.lifecycle.begin(request)
 
     def on_disconnect(self, event: ClientDisconnected) -> None:
-        """End a request whose client has left."""
+        """End a request whose client has disconnected."""
         request = self.requests.open.get(event.request_id)
         if request is not None and not request.is_answered:
             self.lifecycle.finish(request)
 
     def on_quota_shares(self, event: QuotaSharesUpdated) -> None:
-        """Use the shares that are in force from now on, and end the loans that are over."""
+        """Apply new quota shares, and end the loans that are over."""
         self.quotas.shares = event
         borrowed = self.quotas.stage().borrowed
         for request in self.requests.waiting:
@@ -68,14 +68,14 @@
         request.borrowing_tenant = None
         if request.is_background:
             return
-        queue_timeout = self._beyond_quota(self.shedder.queue_timeout(request))
+        queue_timeout = self._queue_timeout_beyond_quota(self.shedder.queue_timeout(request))
         request.queue_deadline = min(request.queue_deadline, request.arrived_at + queue_timeout)
 
     def _admit(self, arrival: RequestArrived) -> Request:
         now = self.clock.now
-        self._arrivals += 1
+        self._admitted_count += 1
         service_class = self.config.known_service_classes[arrival.service_class]
-        request = Request(arrival, service_class, now, self._arrivals)
+        request = Request(arrival, service_class, now, self._admitted_count)
         self.requests.add(request)
         if request.affinity_key is not None:
             self.key_frequencies.count(request.affinity_key, now)
@@ -84,11 +84,11 @@
         if coverage is BORROWED:
             request.borrowing_tenant = arrival.tenant
         elif coverage is BEYOND:
-            queue_timeout = self._beyond_quota(queue_timeout)
+            queue_timeout = self._queue_timeout_beyond_quota(queue_timeout)
         request.queue_deadline = self.shedder.latest_queue_deadline(request)
         if not arrival.background:
             request.queue_deadline = min(request.queue_deadline, now + queue_timeout)
         return request
 
-    def _beyond_quota(self, queue_timeout: int) -> int:
+    def _queue_timeout_beyond_quota(self, queue_timeout: int) -> int:
         return int(queue_timeout * self.config.current.quotas.beyond_quota_weight)
--- a/locktide/scheduler/policy/affinity.py
+++ b/locktide/scheduler/policy/affinity.py
@@ -1,16 +1,16 @@
-"""Affinity: requests that share a key are drawn among the same few endpoints.
+"""Affinity: requests that share a key are sent to the same few endpoints.
 
 The rule, for a request with an affinity key:
 
 - All dispatchers compute the same order of the endpoints for the key, by rendezvous hashing.
-- The request is drawn among the first of that order: the key's share of all requests that we see, times the
-  number of endpoints, and half as many again. At least two, as one alone queues.
-- While it finds no place, the number doubles for each half of a usual run that has passed since its arrival.
-- Endpoints that are crowded, by their load in requests a core, are passed over, after the number is counted.
+- The endpoint is drawn among the first n of this order. n is the key's share of all requests of this
+  dispatcher, times the number of endpoints, times 1.5. It is at least two, as a queue forms at a single one.
+- While the request is not placed, n doubles for each half of a usual run time since its arrival.
+- Among these n endpoints, those that are crowded are skipped. Crowded means a high load in requests per core.
 
-Why: what requests of a key need is fetched by each endpoint that runs one, which takes about a run, and is
-kept by few. Drawn among all, every endpoint would fetch for every key, and in a burst nothing would stay
-where it is needed.
+Why: each endpoint that runs a request of a key first fetches the data of the key. This takes about one run
+time, and few endpoints keep the data. If requests were drawn among all endpoints, every endpoint would fetch
+data for every key, and in a burst no endpoint would keep the data that it needs.
 """
 
 from locktide.scheduler.estimators.key_frequencies import KeyFrequencies
@@ -18,27 +18,28 @@
 from locktide.scheduler.state import Clock, Endpoint, EndpointTable, FleetEstimates, Request
 from locktide.scheduler.types import PlacementConstraint
 
-#: Fewest endpoints of a key.
+#: Minimum number of endpoints of a key.
 MIN_ENDPOINTS = 2
-#: Endpoints of a key over its share of the requests: what exceeds its share now and then stays among them.
+#: Endpoints of a key, relative to its share of the requests: absorbs peaks above this share.
 ENDPOINTS_PER_SHARE = 1.5
-#: Added before an endpoint count is cut to a whole number, so that it is rounded up but for rounding errors.
+#: Added before an endpoint count is truncated, so that it is rounded up unless the excess is a rounding
+#: error.
 ROUND_UP = 0.99
-#: Requests of other keys that count beside the observed ones. The first key after a restart would otherwise
-#: have all of what is seen, and every endpoint with it.
+#: Assumed requests of other keys, in addition to the observed ones. Otherwise the first key after a restart
+#: would have a share of 1 and be sent to every endpoint.
 OTHER_REQUESTS = 5.0
-#: How often the number of endpoints doubles in a usual run. Much sooner, and a burst scatters each key.
+#: Doublings of the number of endpoints per usual run time. With many more a burst would scatter each key.
 DOUBLINGS_PER_RUN = 2.0
-#: Most doublings: with as many any key has every endpoint.
+#: Maximum number of doublings: enough to include all endpoints for any key.
 MAX_DOUBLINGS = 10.0
-#: Load from which an endpoint is crowded, in requests a core, and as a multiple of the mean load: it has to
-#: exceed both.
+#: Load above which an endpoint is crowded, in requests per core and as a multiple of the mean load. The load
+#: has to exceed both.
 CROWDED_LOAD = 1.5
 CROWDED_PER_MEAN = 2.0
 
 
 class AffinityRouter:
-    """Finds the endpoints that are a key's own."""
+    """Finds the endpoints that belong to an affinity key."""
 
     def __init__(
         self,
@@ -54,23 +55,24 @@
         self._key_frequencies = key_frequencies
         self._orders = RendezvousOrders[PlacementConstraint | None, Endpoint]()
 
-    def nearest(self, request: Request, key: int, eligible: list[Endpoint]) -> list[Endpoint]:
-        """Return which of the eligible endpoints the request is drawn among; there may be none."""
+    def select_endpoints(self, request: Request, key: int, eligible: list[Endpoint]) -> list[Endpoint]:
+        """Return the eligible endpoints among which the draw is made; the list may be empty."""
         order = self._orders.order(self._endpoints.candidates, request.placement, key)
-        reach = self._reach(request, key, len(order))
+        own_count = self._count_own_endpoints(request, key, len(order))
         if len(eligible) < len(order):
             allowed = set(eligible)
             order = [endpoint for endpoint in order if endpoint in allowed]
         crowded = max(CROWDED_LOAD, CROWDED_PER_MEAN * self._estimates.mean_load)
-        # Crowded endpoints count within the reach: passing over them first would send each key to ever new
-        # endpoints in an overload, and all of them would fetch what it needs.
-        return [endpoint for endpoint in order[:reach] if endpoint.load <= crowded]
+        # Crowded endpoints are skipped only after the count: replacing them with the next in the order would
+        # send each key to more and more endpoints in an overload, and each of them would fetch the key's
+        # data.
+        return [endpoint for endpoint in order[:own_count] if endpoint.load <= crowded]
 
-    def _reach(self, request: Request, key: int, endpoint_count: int) -> int:
-        """Return how many endpoints at the head of its order are the key's own for this request."""
+    def _count_own_endpoints(self, request: Request, key: int, endpoint_count: int) -> int:
+        """Return how many of the first endpoints in the key's order belong to the key for this request."""
         now = self._clock.now
         share = self._key_frequencies.share(key, now, others=OTHER_REQUESTS)
         waited = now - request.arrived_at
         doublings = DOUBLINGS_PER_RUN * waited / self._estimates.usual_run_time(request)
-        at_first = max(MIN_ENDPOINTS, int(ENDPOINTS_PER_SHARE * share * endpoint_count + ROUND_UP))
-        return at_first << int(min(MAX_DOUBLINGS, doublings))
+        initial_count = max(MIN_ENDPOINTS, int(ENDPOINTS_PER_SHARE * share * endpoint_count + ROUND_UP))
+        return initial_count << int(min(MAX_DOUBLINGS, doublings))
--- a/locktide/scheduler/policy/attempt_outcomes.py
+++ b/locktide/scheduler/policy/attempt_outcomes.py
@@ -1,8 +1,8 @@
-"""Attempt outcomes: which policy learns what from each event of an attempt, from its sending to its end.
+"""Attempt outcomes: passes each event of an attempt, from sending to end, to the policies that learn from it.
 
-It decides nothing about the request; it says what counts as what. Starts and ends go to the concurrency
-limit, the retry budget and the attempt timeouts, signs of health to outlier detection, run times to the
-estimates; then the request of an attempt that has ended goes on its way (`request_lifecycle`).
+This module classifies events and makes no decision about the request. It reports starts and ends to the
+concurrency limit, the retry budget and the attempt timeouts, signs of health to outlier detection, and run
+times to the estimates. After an attempt has ended, `request_lifecycle` continues with its request.
 """
 
 from dataclasses import dataclass
@@ -24,13 +24,13 @@
 FULL = AttemptOutcome.FULL
 RESET = AttemptOutcome.RESET
 NO_CONNECTION = AttemptOutcome.NO_CONNECTION
-#: Outcomes after which the connection is free for another attempt.
+#: Outcomes after which the connection can be reused for another attempt.
 RESPONDED = (DONE, ERROR, FULL)
 
 
 @dataclass(eq=False)
 class AttemptOutcomes:
-    """Hands the events of attempts to the policies that learn from them."""
+    """Passes the events of attempts to the policies that learn from them."""
 
     clock: Clock
     requests: RequestPool
@@ -44,15 +44,15 @@
     outliers: OutlierDetector
 
     def on_sent(self, event: AttemptSent) -> None:
-        """Count the attempt as sent from now on."""
+        """Record the time at which the last byte of the attempt was sent."""
         if attempt := self.requests.find_attempt(event.request_id, event.attempt):
-            # The time that a new connection takes to open would make prompt starts look late, and the
-            # concurrency limits of idle workers fall
+            # If the time to open a new connection counted as well, prompt starts would look late and the
+            # concurrency limits of idle workers would fall
             # (test_a_slow_connection_does_not_make_a_prompt_start_late).
             attempt.sent_at = self.clock.now
 
     def on_started(self, event: AttemptStarted) -> None:
-        """Note that an endpoint runs the attempt."""
+        """Record that the worker has started the attempt."""
         attempt = self.requests.find_attempt(event.request_id, event.attempt)
         if attempt is None:
             return
@@ -66,7 +66,7 @@
         self._on_first_sign(attempt, self.timeouts.is_prompt(attempt))
 
     def on_progress(self, event: AttemptProgressed) -> None:
-        """Note that a running attempt makes progress."""
+        """Record progress of a running attempt."""
         attempt = self.requests.find_attempt(event.request_id, event.attempt)
         if attempt is None:
             return
@@ -76,7 +76,7 @@
         self.outliers.record_progress(attempt, event.fraction_done)
 
     def on_ended(self, event: AttemptEnded) -> None:
-        """Note the outcome of an attempt, and let its request go on."""
+        """Process the outcome of an attempt, then continue with its request."""
         attempt = self.requests.find_attempt(event.request_id, event.attempt)
         if attempt is None or attempt not in attempt.request.open_attempts:
             return
@@ -95,27 +95,27 @@
             self.lifecycle.continue_after_attempt(request)
 
     def _release(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Free what the attempt took up at its endpoint."""
+        """Release the slots of the attempt at its endpoint, and process its end as a first sign."""
         endpoint = attempt.endpoint
         self.attempts.close(attempt, keeps_connection=outcome in RESPONDED)
         self.limiter.pause_between_attempts(endpoint, self.clock.now - attempt.sent_at)
         self.endpoint_list.close_idle_connections(endpoint)
         if outcome not in UNINFORMATIVE and not self._was_cancelled_early(attempt, outcome):
-            # An end without a result counts as a late start, also that of an attempt which we cancelled.
+            # An end without a result counts as a late start, even if we cancelled the attempt.
             self._on_first_sign(attempt, is_prompt=outcome == DONE)
         endpoint.unstarted.pop(attempt, None)
 
     def _was_cancelled_early(self, attempt: Attempt, outcome: AttemptOutcome) -> bool:
-        """Return whether it was cancelled while its start would still have been prompt.
+        """Return whether the attempt was cancelled while its start would still have been prompt.
 
-        Clients that leave early would otherwise cut the limit of a sound worker, one quarter each
-        (test_an_attempt_cancelled_before_its_start_is_late_does_not_cut_the_limit).
+        Otherwise each client that disconnects early would cut the concurrency limit of a healthy worker by a
+        quarter (test_an_attempt_cancelled_before_its_start_is_late_does_not_cut_the_limit).
         """
         is_early = attempt.cancelled_at - attempt.sent_at <= self.timeouts.prompt_start
         return outcome == CANCELLED and bool(attempt.cancelled_at) and is_early
 
     def _on_first_sign(self, attempt: Attempt, is_prompt: bool) -> None:
-        """Learn from an attempt that has started, or has ended before its start was reported."""
+        """Process the first sign of an attempt: its start, or its end if no start was reported."""
         if attempt not in attempt.endpoint.unstarted:
             return
         del attempt.endpoint.unstarted[attempt]
--- a/locktide/scheduler/policy/endpoint_list.py
+++ b/locktide/scheduler/policy/endpoint_list.py
@@ -1,10 +1,9 @@
-"""Endpoint list: what an update of the list changes.
+"""Endpoint list: applies updates of the list.
 
-Updates are merged into the known endpoints (`state.list_update`). New endpoints start with the least
-concurrency limit; candidates are sorted anew where more than ratings changed. The idle connections to a
-draining endpoint are closed, where the configuration says so, at the notice and after each attempt that
-ends there. Live ratings go to `load_ratings`. When the list is fetched is a rule of its own
-(`endpoint_polling`).
+Updates are merged into the known endpoints (`state.list_update`). New endpoints start with the minimum
+concurrency limit. Candidates are rebuilt if anything except ratings has changed. If the configuration says
+so, the idle connections to a draining endpoint are closed when it starts draining and after each attempt that
+ends there. Live ratings are passed to `load_ratings`. `endpoint_polling` decides when the list is fetched.
 """
 
 from dataclasses import dataclass
@@ -35,7 +34,7 @@
     polling: EndpointPolling
 
     def on_update(self, event: EndpointListUpdate) -> None:
-        """Apply an update, or plan the next call after a failed one."""
+        """Apply an update, or schedule the next fetch after a failed one."""
         if event.kind in FETCH_FAILURES:
             self.polling.on_failure(timed_out=event.kind == ListUpdateKind.FETCH_TIMED_OUT)
             return
@@ -52,11 +51,11 @@
         self.strategies.current.update_ratings(event.entries)
 
     def rebuild_candidates(self) -> None:
-        """Sort the ready endpoints by the placement constraints of every known service class."""
+        """Find the ready endpoints for each placement constraint of the known service classes."""
         self.endpoints.rebuild_candidates(self.config.known_service_classes.values())
 
     def close_idle_connections(self, endpoint: Endpoint) -> None:
-        """Close the idle connections to an endpoint that is draining: no more work is sent to it."""
+        """Close the idle connections to an endpoint if it is draining, as nothing more is sent to it."""
         if endpoint.state == DRAINING and self.config.current.endpoint_list.close_idle_within:
             endpoint.idle_connections = []
             self.commands.add(CloseIdleConnections(endpoint.id))
--- a/locktide/scheduler/policy/load_ratings.py
+++ b/locktide/scheduler/policy/load_ratings.py
@@ -1,14 +1,15 @@
-"""Load ratings: what each endpoint holds, and how often it is drawn, where ratings fall with load.
+"""Load ratings: the load and draw weight of each endpoint, if ratings fall with load.
 
 The rule, for each rating of the endpoint list:
 
-- The load of an endpoint follows from its rating and the highest rating of its worker type, in requests a
-  core.
-- Its draw weight is its capacity squared over the cube of one more than its load: a large endpoint that is
-  as busy as a small one is drawn more often, and a busy one far less often than an idle one.
-- The weight falls with the cost of another zone, and where a service class runs on this worker type alone.
-- An endpoint that holds work, and whose rating is not renewed while most are, is suspected until it is: a
-  worker that takes requests and runs none would otherwise keep the rating of its idle time and be drawn on.
+- The load of an endpoint, in requests per core, follows from its rating and the highest rating of its worker
+  type.
+- Its draw weight is capacity ** 2 / (1 + load) ** 3. A large endpoint is drawn more often than a small one
+  with the same load, and a busy one far less often than an idle one.
+- The weight is reduced by the cost of another zone, and if some service class runs only on this worker type.
+- An endpoint with work whose rating does not change while most others do is suspected until its rating
+  changes. Otherwise a worker that takes requests but does not run them would keep the rating of its idle
+  time, and would continue to be drawn.
 """
 
 from math import exp
@@ -18,21 +19,21 @@
 from locktide.scheduler.state import ActiveConfig, Endpoint, EndpointTable, FleetEstimates
 from locktide.scheduler.state.load_estimator import LoadEstimator
 
-#: Cost that divides a draw weight by e, as a fraction of what a usual request earns.
+#: Cost that divides a draw weight by e, as a fraction of the value of a usual request.
 COST_SCALE = 0.01
-#: Exponents of capacity and load in the draw weight. A lower power sends too much to full endpoints, a higher
-#: one makes all dispatchers turn to the few that were idle a second ago.
+#: Exponents of capacity and load in the draw weight. Lower exponents send too much to full endpoints; with
+#: higher ones all dispatchers turn to the few endpoints that were idle a second ago.
 CAPACITY_EXPONENT = 2
 LOAD_EXPONENT = 3
-#: Least capacity that counts in a weight, so that an endpoint without a rating can still be drawn.
+#: Minimum capacity in the draw weight, so that an endpoint without a rating can still be drawn.
 MIN_CAPACITY = 1e-3
-#: Factor of the weight of a worker type to which a service class is bound alone: requests that may run
-#: anywhere leave it to that class. For the class itself it changes nothing.
+#: Factor on the weight of a worker type that is the only one of some service class: requests that may run
+#: anywhere leave it to this class. For the class itself the factor has no effect.
 EXCLUSIVE_TYPE_FACTOR = 0.25
 
 
 class LoadRatings:
-    """Follows the ratings of the endpoint list."""
+    """Derives loads and draw weights from the ratings of the endpoint list."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         self._estimates = estimates
         self._outliers = outliers
         self._estimator = LoadEstimator()
-        self._exclusive_types: set[str | None] = set()  # worker types to which a service class is bound alone
+        self._exclusive_types: set[str | None] = set()  # types that are the only one of a service class
         self._cross_zone_factor = 1.0
 
     def configure(self) -> None:
@@ -56,13 +57,13 @@
         self._cross_zone_factor = exp(-self._config.current.costs.cross_zone / COST_SCALE)
 
     def forget(self) -> None:
-        """Forget the ratings of all endpoints and what followed from them."""
+        """Reset the ratings of all endpoints and the values derived from them."""
         self._estimates.mean_load = 0.0
         for endpoint in self._endpoints.by_id.values():
             endpoint.reset_rating()
 
     def update(self, entries: list[EndpointEntry]) -> None:
-        """Take over the ratings of an update."""
+        """Process the ratings of an update."""
         endpoints = self._endpoints.by_id
         renewed = self._estimator.update(endpoints, entries)
         for entry in entries:
--- a/locktide/scheduler/policy/placement.py
+++ b/locktide/scheduler/policy/placement.py
@@ -3,15 +3,16 @@
 The rule:
 
 - Eligible are the ready endpoints that satisfy the request's placement constraint. After an earlier attempt
-  they are those to which it may be repeated, without those that may be running it, and, if any are left,
-  without those that it has been sent to.
-- A request with an affinity key is drawn among the key's own endpoints (`affinity`).
+  only endpoints to which the request may be repeated are eligible, except those that may be running it.
+  Endpoints that it was sent to before are also excluded, unless no others are left.
+- With an affinity key only the endpoints that belong to the key are eligible (`affinity`).
 - One endpoint is drawn by the strategy in force (`placement_strategy`). The request is sent if the endpoint
-  has capacity, the draw stands, slow start allows it, and the endpoint is not suspected or may be probed.
+  has capacity, the strategy accepts the draw, slow start allows the request, and the endpoint is not
+  suspected or may be sent a probe.
 - Otherwise the request waits in the pool, with its age, for the next round.
 
-Why: a fresh draw in each round, oldest request first, keeps the waits of a balanced system short without any
-message between dispatchers (the source paper, in docs/design.md).
+Why: a new draw in each round, oldest request first, keeps waits short in a balanced system without any
+message between dispatchers (see the source paper in docs/design.md).
 """
 
 from dataclasses import dataclass, field
@@ -21,7 +22,7 @@
 from locktide.scheduler.policy.concurrency_limit import has_capacity
 from locktide.scheduler.policy.outlier_detection import OutlierDetector, is_suspected
 from locktide.scheduler.policy.placement_strategy import PlacementStrategies
-from locktide.scheduler.policy.retry_eligibility import where_repeatable
+from locktide.scheduler.policy.retry_eligibility import endpoints_for_repeat
 from locktide.scheduler.policy.slow_start import SlowStartBudget
 from locktide.scheduler.state import ActiveConfig, Clock, Endpoint, EndpointTable, Request
 from locktide.scheduler.types import Effect
@@ -29,7 +30,7 @@
 
 @dataclass(eq=False)
 class Placement:
-    """Draws the endpoints that requests from the pool are sent to."""
+    """Draws the endpoints to which requests from the pool are sent."""
 
     clock: Clock
     config: ActiveConfig
@@ -47,7 +48,7 @@
         self._all_at_most_once = all([each.effect == Effect.AT_MOST_ONCE for each in classes])
 
     def draw(self, request: Request) -> Endpoint | None:
-        """Make one draw for the request; return the endpoint that it is to be sent to, or None."""
+        """Make one draw for the request; return the endpoint to send it to, or None if it has to wait."""
         eligible = self._eligible(request)
         if not eligible:
             return None
@@ -59,20 +60,20 @@
         if request.attempts:
             eligible = self._eligible_again(request, eligible)
         if request.affinity_key is not None:
-            return self.affinity.nearest(request, request.affinity_key, eligible)
+            return self.affinity.select_endpoints(request, request.affinity_key, eligible)
         return eligible
 
     def _eligible_again(self, request: Request, ready: list[Endpoint]) -> list[Endpoint]:
-        """Return which of the ready endpoints may have the request after an earlier attempt."""
+        """Return the ready endpoints to which the request may be sent after an earlier attempt."""
         running = [attempt.endpoint for attempt in request.possibly_executed]
         attempted = [attempt.endpoint for attempt in request.attempts]
-        repeatable = where_repeatable(request, ready, self.clock.now)
-        free = [endpoint for endpoint in repeatable if endpoint not in running]
-        fresh = [endpoint for endpoint in free if endpoint not in attempted]
-        return fresh or free
+        repeatable = endpoints_for_repeat(request, ready, self.clock.now)
+        not_running = [endpoint for endpoint in repeatable if endpoint not in running]
+        not_attempted = [endpoint for endpoint in not_running if endpoint not in attempted]
+        return not_attempted or not_running
 
     def _may_send(self, request: Request, endpoint: Endpoint) -> bool:
-        """Return whether the request may be sent to the endpoint that was drawn."""
+        """Return whether the request may be sent to the drawn endpoint."""
         now = self.clock.now
         if not has_capacity(endpoint, request.width, now, self.timeouts.prompt_start):
             return False
@@ -83,11 +84,11 @@
         return not is_suspected(endpoint, now) or self._may_probe(request, endpoint)
 
     def _may_probe(self, request: Request, endpoint: Endpoint) -> bool:
-        """Return whether the request may be sent to an endpoint that is suspected."""
+        """Return whether the request may be sent to a suspected endpoint."""
         if self.outliers.suspects_most():
             return True
-        # A request that is sent at most once is lost for good where its endpoint fails, which shows as errors
-        # that no retry mends. Requests that can be sent again find out whether the endpoint has recovered.
+        # If its endpoint fails, an at-most-once request is lost, and its client gets an error that no retry
+        # can prevent. Requests that can be sent again are used to test whether the endpoint has recovered.
         if request.is_at_most_once and not self._all_at_most_once:
             return False
         return self.outliers.admits_probe(endpoint)
--- a/locktide/scheduler/policy/placement_strategy.py
+++ b/locktide/scheduler/policy/placement_strategy.py
@@ -1,9 +1,9 @@
-"""Placement strategies: how an endpoint is drawn, and what else depends on whether endpoints' load is known.
+"""Placement strategies: how an endpoint is drawn, and what else depends on knowledge of their load.
 
-There are two. Where nothing tells the load of endpoints the draw is uniform (`uniform_placement`); where
-the ratings of the endpoint list fall with load, it is weighted by them (`weighted_placement`). The
-configuration says which, at the start and at a reload. Other modules ask the strategy in force and never
-which of the two it is.
+There are two strategies. If the load of endpoints is unknown, the draw is uniform (`uniform_placement`). If
+the ratings of the endpoint list fall with load, the draw is weighted by them (`weighted_placement`). The
+configuration selects the strategy at the start and at each reload. Other modules use only this interface,
+without regard to which strategy is in force.
 """
 
 from enum import Enum
@@ -22,23 +22,23 @@
 
 
 class PlacementStrategy(Protocol):
-    """How endpoints are drawn, and what follows from what it knows of their load."""
+    """How endpoints are drawn, and what is known of their load."""
 
     @property
     def needs_pauses(self) -> bool:
-        """Whether an even share of an endpoint is kept by staying away from it between two requests."""
+        """Whether pauses between two requests to an endpoint keep our use of it within our even share."""
 
     def configure(self) -> None:
         """Apply the configuration in force; called when the strategy is chosen and at each reload."""
 
     def update_ratings(self, entries: list[EndpointEntry]) -> None:
-        """Take over the ratings of an update of the endpoint list."""
+        """Process the ratings of an update of the endpoint list."""
 
     def draw(self, eligible: list[Endpoint], has_key: bool) -> Endpoint:
-        """Draw one of the endpoints; `has_key` says that they are those of the request's affinity key."""
+        """Draw one of the endpoints; `has_key`: they were selected by the request's affinity key."""
 
     def accepts(self, endpoint: Endpoint) -> bool:
-        """Return whether a draw of the endpoint stands, or the request waits for the next round."""
+        """Return whether a draw of the endpoint is accepted; if not, the request waits for the next round."""
 
     def fleet_load(self) -> FleetLoad:
         """Return what is known of the load of the fleet as a whole."""
@@ -60,7 +60,7 @@
         self.current = uniform
 
     def configure(self) -> None:
-        """Choose the strategy that the configuration in force asks for."""
+        """Choose the strategy for the configuration in force, and configure it."""
         has_live_ratings = self._config.current.endpoint_list.live_ratings
         self.current = self._weighted if has_live_ratings else self._uniform
         self.current.configure()
--- a/locktide/scheduler/policy/quotas.py
+++ b/locktide/scheduler/policy/quotas.py
@@ -1,11 +1,12 @@
-"""Quotas: what of its tenant's quota covers a request, its own share, a loan or nothing.
+"""Quotas: whether a request is covered by its tenant's own share, by a loan, or not at all.
 
-A quota is a rate, in requests a second, that a tenant may send to all dispatchers together. A dispatcher
-has a share of it, a fraction: the agreed one while a stage of agreed shares is in force, the even one
-otherwise. For each tenant two token buckets are filled, one at the rate of that share and one at the rate
-of what other dispatchers or tenants have lent; a request takes a token from the first, or else from the
-second, or else is beyond its tenant's quota. It is so in any case while its tenant has more of a contended
-fleet than its fair share. A request without a tenant, or of one without a quota, is always covered.
+A quota is a rate, in requests per second, that a tenant may send to all dispatchers together. Each dispatcher
+has a share of it, as a fraction: the agreed share while a stage of agreed shares is in force, otherwise the
+even share. Each tenant has two token buckets, one filled at the rate of this share and one at the rate lent
+by other dispatchers or tenants. A request takes a token from the first bucket, otherwise from the second; if
+both are empty, it is beyond its tenant's quota. While a tenant uses more than its fair share of a contended
+fleet, all its requests are beyond its quota. A request without a tenant, or of a tenant without a quota, is
+always covered.
 """
 
 from locktide.scheduler.estimators.token_bucket import TokenBucket
@@ -17,10 +18,10 @@
 OWN = QuotaCoverage.OWN
 BORROWED = QuotaCoverage.BORROWED
 BEYOND = QuotaCoverage.BEYOND
-#: Seconds of its rate that a bucket holds at most: traffic comes in bunches.
+#: Capacity of a bucket, in seconds of its rate: requests arrive in bursts.
 BURST = 5.0
-#: Tokens that a bucket of a tenant's own share holds beside its burst, so that a share however small admits a
-#: request once in a while.
+#: Tokens that the bucket of a tenant's own share holds in addition to its burst, so that even a very small
+#: share admits a request from time to time.
 MIN_BURST = 1.0
 NO_STAGE = QuotaStage(0, {})
 
@@ -32,13 +33,13 @@
         self._clock = clock
         self._config = config
         self.buckets = dict[TenantId, TokenBucket]()
-        self._borrowed_buckets = dict[TenantId, TokenBucket]()  # of what was lent to each tenant
+        self._borrowed_buckets = dict[TenantId, TokenBucket]()  # for quota lent to each tenant
 
     def configure(self) -> None:
-        """Begin with the configured quotas and even shares.
+        """Apply the configured quotas, with even shares.
 
-        What a tenant has spent of its burst stays spent: with full buckets each reload admitted every tenant
-        beyond its quota (test_a_reload_gives_no_tenant_its_burst_anew). A new tenant's bucket is full.
+        Existing buckets keep their levels: when each reload filled them, every tenant could exceed its quota
+        (test_a_reload_gives_no_tenant_its_burst_anew). The bucket of a new tenant is full.
         """
         config = self._config.current
         self.shares = QuotaSharesUpdated([])
@@ -52,28 +53,28 @@
         return TokenBucket(BURST * rate + MIN_BURST, self._clock.now)
 
     def stage(self) -> QuotaStage:
-        """Return the stage of the agreed shares that is in force now."""
+        """Return the stage of agreed shares that is in force now, or an empty one."""
         now = self._clock.now
         return next((stage for stage in self.shares.stages if now < stage.until), NO_STAGE)
 
     def cover(self, tenant: TenantId | None) -> QuotaCoverage:
-        """Return by what one more request of the tenant is covered, and use that up."""
+        """Return what covers one more request of the tenant, and take its token."""
         if tenant is None or tenant not in self.buckets:
             return OWN
         stage = self.stage()
-        is_within_share = self._take_own(tenant, stage)
+        is_within_share = self._take_own_token(tenant, stage)
         if self._is_over_fair_share(tenant):
             return BEYOND
         if is_within_share:
             return OWN
-        return BORROWED if self._take_borrowed(tenant, stage) else BEYOND
+        return BORROWED if self._take_borrowed_token(tenant, stage) else BEYOND
 
-    def _take_own(self, tenant: TenantId, stage: QuotaStage) -> bool:
+    def _take_own_token(self, tenant: TenantId, stage: QuotaStage) -> bool:
         share = stage.shares.get(tenant, self._config.dispatcher_share)
         rate = self._quotas[tenant] * share
         return self.buckets[tenant].take(rate, BURST * rate + MIN_BURST, self._clock.now)
 
-    def _take_borrowed(self, tenant: TenantId, stage: QuotaStage) -> bool:
+    def _take_borrowed_token(self, tenant: TenantId, stage: QuotaStage) -> bool:
         now = self._clock.now
         rate = self._quotas[tenant] * stage.borrowed.get(tenant, 0.0)
         bucket = self._borrowed_buckets.setdefault(tenant, TokenBucket(0.0, now))
--- a/locktide/scheduler/policy/request_lifecycle.py
+++ b/locktide/scheduler/policy/request_lifecycle.py
@@ -1,8 +1,9 @@
 """Request lifecycle: the stages of a request from its arrival to its response.
 
-A request waits in the pool, or has attempts in flight, never both. An attempt that brings no response sends
-it back to the pool with its age, unless it is unprocessable, its deadline is over or no further attempt is
-allowed: then it is given up at once, as is what has waited too long in the pool (`load_shedding`).
+A request either waits in the pool or has attempts in flight, never both. After an attempt without a response
+it returns to the pool with its age, unless it fails at any endpoint, its deadline is over or no further
+attempt is allowed. In these cases it is given up at once, as is a request that has waited too long in the
+pool (`load_shedding`).
 """
 
 from dataclasses import dataclass
@@ -11,7 +12,7 @@
 from locktide.scheduler.policy.attempt_timeouts import AttemptTimeouts
 from locktide.scheduler.policy.load_shedding import LoadShedder
 from locktide.scheduler.policy.retries import RetryPolicy
-from locktide.scheduler.policy.retry_eligibility import repeats_until
+from locktide.scheduler.policy.retry_eligibility import repeatable_until
 from locktide.scheduler.policy.slow_start import SlowStartBudget
 from locktide.scheduler.state import (
     ActiveConfig,
@@ -39,17 +40,17 @@
     slow_start: SlowStartBudget
 
     def begin(self, request: Request) -> None:
-        """Let a new or recovered request wait for a worker, or for the attempts it has."""
+        """Put a new or recovered request into the pool, unless it has attempts in flight."""
         if request.open_attempts:
             return
         if self.retries.may_attempt(request):
             self.requests.enter(request)
-        else:  # one that was recovered may have had every attempt that it may have
+        else:  # a recovered request may have used up its attempts
             self.give_up(request)
 
     def send(self, request: Request, endpoint: Endpoint) -> None:
         """Start an attempt of a request from the pool."""
-        send_before = repeats_until(request) or 0  # 0 in the command: its deadline alone counts
+        send_before = repeatable_until(request) or 0  # 0 in the command: only the deadline applies
         attempt = self.attempts.open(request, endpoint)
         self.retries.budget.on_sent(attempt)
         if self.config.current.progress.reports_start:
@@ -60,13 +61,13 @@
         self.requests.leave(request)
 
     def finish(self, request: Request) -> None:
-        """End a request that has its response, or whose client is gone; its other attempts are cancelled."""
+        """End a request that has its response or whose client has disconnected; cancel its open attempts."""
         for attempt in request.open_attempts:
             self.retries.cancel(attempt)
         self.requests.close(request)
 
     def continue_after_attempt(self, request: Request) -> None:
-        """Let a request go on after an attempt that brought no response."""
+        """Return a request to the pool after an attempt without a response, or give it up."""
         if request.open_attempts:
             return
         is_over = request.fails_anywhere or self.clock.now >= request.deadline
@@ -77,6 +78,6 @@
         self.requests.enter(request)
 
     def give_up(self, request: Request) -> None:
-        """Reject or fail a request: waiting no longer pays, or no further attempt is allowed."""
+        """Reject or fail a request that has waited too long or is allowed no further attempt."""
         self.shedder.respond(request)
         self.requests.close(request)
--- a/locktide/scheduler/policy/retries.py
+++ b/locktide/scheduler/policy/retries.py
@@ -1,14 +1,14 @@
-"""Retries: when an attempt in doubt is cancelled for one, and how long a request waits before it.
+"""Retries: when an overdue attempt is cancelled for a retry, and how long a request waits before the retry.
 
-An attempt in doubt (`attempt_timeouts`) is cancelled, so that its request may be sent elsewhere, if
+An overdue attempt (`attempt_timeouts`) is cancelled, so that its request can be sent elsewhere, if
 - one more attempt is allowed (`retry_eligibility`),
 - the retry budget allows it (`retry_budget`), and
-- the request is idempotent, or the attempt is as good as lost: what may be repeated in few places only
-  would most likely give up its place in a queue for a worse one.
+- the request is idempotent, or the attempt is presumed lost. A request that may be repeated only at few
+  workers would most likely give up its place in a queue for a worse one.
 
-Backoff: after a worker was full, a request waits a part of its queue timeout, so that the attempts it may
-have last for the whole of it. What comes back to the pool gets its queue timeout anew, but no more than its
-deadline allows. Spans are in microseconds.
+Back-off: after a worker was full, a request waits a fraction of its queue timeout, so that its attempts last
+for the whole queue timeout. A request that returns to the pool gets its full queue timeout again, as far as
+its deadline allows. Time spans are in microseconds.
 """
 
 from locktide.scheduler.commands import CancelAttempt
@@ -19,7 +19,7 @@
 
 
 class RetryPolicy:
-    """Cancels attempts in whose place a retry pays, and sets how long a request waits for its next."""
+    """Cancels attempts if a retry is worthwhile, and sets how long requests wait for their next attempt."""
 
     def __init__(
         self, *, clock: Clock, config: ActiveConfig, commands: CommandBuffer, shedder: LoadShedder
@@ -31,27 +31,27 @@
         self.budget = RetryBudget()
 
     def may_attempt(self, request: Request) -> bool:
-        """Return whether one more attempt of the request is allowed at all."""
+        """Return whether one more attempt of the request is allowed."""
         return may_attempt(request, self._clock.now, self._config.current.retry.max_attempts)
 
     def on_not_run(self, attempt: Attempt, is_unsent: bool) -> None:
         """Account for an attempt that is proven not to have run."""
-        # A request for which nobody waits would fail as soon as a few workers in a row were full, and one
-        # that only workers of a lost zone may have would use up its attempts within milliseconds of refused
-        # connections. Neither counts such attempts, so that it waits until a worker can have it
+        # If such attempts counted, a background request would fail as soon as a few workers in a row were
+        # full, and a request that is confined to a lost zone would use up its attempts within milliseconds of
+        # refused connections. Both have to wait until a worker can take them
         # (test_request_confined_to_a_lost_zone_waits_for_it_without_using_up_its_attempts).
         request = attempt.request
-        is_free = is_unsent and not self._config.current.retry.counts_unsent
-        request.uncounted_attempts += is_free or request.is_background
-        if is_free and not request.is_background:
+        is_uncounted = is_unsent and not self._config.current.retry.counts_unsent
+        request.uncounted_attempts += is_uncounted or request.is_background
+        if is_uncounted and not request.is_background:
             self.budget.on_unsent(attempt)
         request.possibly_executed.remove(attempt)
 
     def cancel_if_retry_pays(self, attempt: Attempt, is_presumed_lost: bool) -> bool:
-        """Make room for a retry in the place of an attempt in doubt.
+        """Cancel an overdue attempt if a retry is allowed and worthwhile.
 
         Returns:
-            Whether nothing but the retry budget stood against it, so that it may pay later.
+            Whether only the retry budget prevented it, so that a later check may succeed.
         """
         request = attempt.request
         must_stay = not request.is_idempotent and not is_presumed_lost
@@ -63,27 +63,27 @@
         return False
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt, where that can be done."""
+        """Cancel an attempt, if attempts can be cancelled."""
         if self._config.current.retry.can_cancel:
             attempt.cancelled_at = attempt.cancelled_at or self._clock.now
             self._commands.add(CancelAttempt(attempt.request.id, attempt.number))
 
     def back_off(self, request: Request) -> None:
-        """Let the request wait before its next attempt, after a worker was full."""
-        # While every worker is full, a request would otherwise use up its attempts in a small part of its
-        # queue timeout and fail, though a worker has capacity soon after
+        """Delay the next attempt of the request after a worker was full."""
+        # Without the delay, while every worker is full, a request would use up its attempts in a small part
+        # of its queue timeout and fail, although a worker has capacity soon after
         # (test_a_request_that_was_refused_as_full_pauses_before_its_next_attempt).
         timeout = self._shedder.queue_timeout(request)
         request.not_before = self._clock.now + timeout // self._config.current.retry.max_attempts
 
     def renew_queue_deadline(self, request: Request) -> None:
-        """Let the request, which comes back to the pool, wait for its queue timeout once more.
+        """Restart the queue timeout of a request that returns to the pool.
 
-        A background request waits for as long as another attempt may follow: without that end it waited for
-        its own deadline (test_background_job_is_failed_once_its_repeats_are_no_longer_dropped).
+        A background request waits only while another attempt is allowed. Otherwise it would wait for its
+        deadline without a chance (test_background_job_is_failed_once_its_repeats_are_no_longer_dropped).
         """
         if request.is_background:
-            request.queue_deadline = self._shedder.end_of_repeats(request)
+            request.queue_deadline = self._shedder.repeat_deadline(request)
             return
         renewed = self._clock.now + self._shedder.queue_timeout(request)
         renewed = min(self._shedder.latest_queue_deadline(request), renewed)
--- a/locktide/scheduler/policy/retry_budget.py
+++ b/locktide/scheduler/policy/retry_budget.py
@@ -1,50 +1,49 @@
-"""Retry budget: how many attempts in doubt may be cancelled for a retry.
+"""Retry budget: how many overdue attempts may be cancelled for a retry.
 
-The budget is a count of retries. Each retry that is sent takes one. A retry that starts promptly has found
-a better place and returns its one. Each success earns a tenth, so that in the long run at most a tenth of
-what succeeds is followed by retries that gain nothing. While the budget is under one, attempts in doubt are
-left to themselves.
+The budget is a number of retries. Each retry that is sent takes one from the budget. A retry that starts
+promptly has found a better worker and returns one. Each success adds a tenth, so that in the long run there
+is at most one useless retry for every ten successes. While the budget is less than one, overdue attempts are
+not cancelled.
 
-A retry after an attempt that has ended by itself, as by a reset, takes one as well but is never held back,
-so the count may go below zero.
+A retry after an attempt that has ended by itself, for example by a reset, also takes one from the budget but
+is never held back, so the budget may become negative.
 """
 
 from locktide.scheduler.state import Attempt
 
-#: The most retries that are saved up, and those at the start: a dispatcher that meets a sudden fault of some
-#: workers can retry that many requests at once.
+#: Maximum and initial budget: so many requests can be retried at once after a sudden fault of some workers.
 MAX_RETRY_BUDGET = 10.0
-#: What a success earns, in retries.
+#: Retries that a success adds to the budget.
 EARNED_BY_SUCCESS = 0.1
 
 
 class RetryBudget:
-    """Counts the retries that are left."""
+    """Counts the remaining retries."""
 
     def __init__(self) -> None:
-        self._left = MAX_RETRY_BUDGET
+        self._remaining = MAX_RETRY_BUDGET
 
     def allows_retry(self) -> bool:
-        """Return whether there is a retry left."""
-        return self._left >= 1.0
+        """Return whether the budget has a whole retry left."""
+        return self._remaining >= 1.0
 
     def on_sent(self, attempt: Attempt) -> None:
-        """Take a retry from the budget."""
+        """Take one from the budget if the attempt is a retry."""
         if attempt.is_retry:
-            self._left -= 1.0
+            self._remaining -= 1.0
 
     def on_prompt_start(self, attempt: Attempt) -> None:
-        """Return the retry, which found a better place."""
+        """Return one to the budget if the attempt is a retry, as it has found a better worker."""
         if attempt.is_retry:
             self._earn(1.0)
 
     def on_success(self) -> None:
-        """Earn a part of a retry."""
+        """Add the budget that a success earns."""
         self._earn(EARNED_BY_SUCCESS)
 
     def on_unsent(self, attempt: Attempt) -> None:
-        """Return a retry of which no last byte was sent."""
-        self._left += attempt.is_retry
+        """Return one to the budget for a retry whose last byte was never sent."""
+        self._remaining += attempt.is_retry
 
     def _earn(self, amount: float) -> None:
-        self._left = min(MAX_RETRY_BUDGET, self._left + amount)
+        self._remaining = min(MAX_RETRY_BUDGET, self._remaining + amount)
--- a/locktide/scheduler/policy/retry_eligibility.py
+++ b/locktide/scheduler/policy/retry_eligibility.py
@@ -1,16 +1,16 @@
-"""Retry eligibility: whether, where and until when a request may be attempted again, or else rejected.
+"""Retry eligibility: whether, where and until when a request may be attempted again, or else be rejected.
 
-This is rule two, no effect twice. An attempt that is not proven never to have run may have run; after one, a
-request is sent again only where its repeat has no further effect:
+This module ensures that no effect happens twice. An attempt that is not proven not to have run may have run.
+After such an attempt a request is sent again only where the repeat has no further effect:
 
 - at most once: nowhere;
-- idempotent with a key: to workers of the deduplication scope of that attempt, until the deduplication window
+- idempotent with a key: to workers in the deduplication scope of that attempt, until the deduplication window
   after it was sent is over;
 - idempotent: anywhere.
 
-Rejecting promises the client that sending the request again is harmless. So one that may have run is
-rejected only if it is idempotent, or if every worker drops its repeat; otherwise it fails. Beside that a
-request has a most number of attempts (`max_attempts` of the configuration). Times are in microseconds.
+A rejection promises the client that sending the request again is harmless. So a request that may have run is
+rejected only if it is idempotent or if every worker drops its repeats; otherwise it is failed. In addition
+the number of attempts is limited (`max_attempts` of the configuration). Times are in microseconds.
 """
 
 from locktide.scheduler.state import Endpoint, Request
@@ -22,19 +22,19 @@
 
 
 def may_attempt(request: Request, now: int, max_attempts: int) -> bool:
-    """Return whether one more attempt of the request is allowed at all."""
+    """Return whether one more attempt of the request is allowed."""
     if len(request.attempts) - request.uncounted_attempts >= max_attempts:
         return False
     if not request.possibly_executed:
         return True
-    return not request.is_at_most_once and not is_window_over(request, now)
+    return not request.is_at_most_once and not is_deduplication_window_over(request, now)
 
 
-def where_repeatable(request: Request, endpoints: list[Endpoint], now: int) -> list[Endpoint]:
-    """Return those of the endpoints to which one more attempt may be sent."""
+def endpoints_for_repeat(request: Request, endpoints: list[Endpoint], now: int) -> list[Endpoint]:
+    """Return the endpoints to which one more attempt of the request may be sent."""
     if not request.possibly_executed or request.is_idempotent:
         return endpoints
-    if request.is_at_most_once or is_window_over(request, now):
+    if request.is_at_most_once or is_deduplication_window_over(request, now):
         return []
     scope = request.service_class.deduplication_scope
     first = request.possibly_executed[0]
@@ -45,25 +45,25 @@
     return [endpoint for endpoint in endpoints if endpoint.cell == first.cell]
 
 
-def repeats_until(request: Request) -> int | None:
-    """Return from when on its repeats are no longer dropped, so none may be sent; None: never.
+def repeatable_until(request: Request) -> int | None:
+    """Return the time from which workers no longer drop repeats, so that none may be sent; None: no limit.
 
-    The moment may be zero or less: an attempt of an earlier process may have been sent before this clock's
-    zero (test_recovered_request_sent_before_the_zero_of_the_clock_fails_at_once).
+    The time may be zero or negative: an attempt of an earlier process may have been sent before the zero of
+    the clock (test_recovered_request_sent_before_the_zero_of_the_clock_fails_at_once).
     """
     if not request.possibly_executed or request.is_idempotent or request.is_at_most_once:
         return None
     return request.possibly_executed[0].sent_at + request.service_class.deduplication_window
 
 
-def is_window_over(request: Request, now: int) -> bool:
-    """Return whether its repeats are no longer dropped."""
-    until = repeats_until(request)
+def is_deduplication_window_over(request: Request, now: int) -> bool:
+    """Return whether workers no longer drop repeats of the request."""
+    until = repeatable_until(request)
     return until is not None and now >= until
 
 
 def may_reject(request: Request) -> bool:
-    """Return whether the request may be rejected rather than failed."""
+    """Return whether the request may be rejected; otherwise it has to be failed."""
     scope = request.service_class.deduplication_scope
     is_dropped_everywhere = not request.is_at_most_once and scope == FLEET
     return not request.possibly_executed or request.is_idempotent or is_dropped_everywhere
--- a/locktide/scheduler/policy/rounds.py
+++ b/locktide/scheduler/policy/rounds.py
@@ -1,12 +1,12 @@
 """Rounds: walks over the pool of waiting requests, oldest first.
 
-The rule: a round follows each step's events. It gives up the requests whose queue deadline has passed, and
-then makes one draw for each of the others, oldest first, until no endpoint has capacity. While requests are
-left, a timer starts the next round after `SchedulerConfig.round_interval`, in microseconds; after
-`SLOW_ROUND_INTERVALS` of them in a sparse fleet, if all that wait may have run at an earlier attempt.
+The rule: a round follows the events of each step. It gives up the requests whose queue deadline has passed,
+and then makes one draw for each of the others, oldest first, until no endpoint has capacity. While requests
+remain in the pool, a timer starts the next round after `SchedulerConfig.round_interval`, in microseconds. In
+a sparse fleet it is `SLOW_ROUND_INTERVALS` times as long if all waiting requests are possibly executed.
 
-Why: capacity mostly comes free with an event, and a bounded interval bounds what a request waits for its
-next draw.
+Why: capacity mostly becomes free with an event, and the timer limits the time until the next draw for a
+request.
 """
 
 from dataclasses import dataclass, field
@@ -28,19 +28,20 @@
     Timers,
 )
 
-#: Intervals between two rounds while all that wait were sent before, in a sparse fleet. Such requests are few
-#: and seldom find a place; most of the CPU would be spent on draws for them. As it is more than
-#: `load_shedding.ROUNDS_BEFORE_DEADLINE`, such a request may be given up after its deadline, by the
-#: difference in intervals; the host's own timeout has to allow for that.
+#: Number of intervals between two rounds in a sparse fleet, if all waiting requests are possibly executed.
+#: Such requests are few and can seldom be placed, and most of the CPU time would be spent on draws for them.
+#: As the value is larger than `load_shedding.ROUNDS_BEFORE_DEADLINE`, such a request may be given up after
+#: its deadline, by the difference in intervals; the host's own timeout has to allow for that.
 SLOW_ROUND_INTERVALS = 4
-#: In a sparse fleet the endpoints with capacity are counted only for a pool of more than this part of the
-#: ready endpoints, as a divisor: for a shorter pool the count costs more CPU than the draws that it may save.
+#: In a sparse fleet the endpoints with capacity are counted only if the pool is longer than the number of
+#: ready endpoints divided by this: for a shorter pool the count costs more CPU time than the draws that it
+#: may save.
 SHORT_POOL_DIVISOR = 8
 
 
 @dataclass(eq=False)
 class Rounds:
-    """Walks over the pool after each step's events, and at least once an interval."""
+    """Runs a round after the events of each step, and by timer while requests wait."""
 
     clock: Clock
     config: ActiveConfig
@@ -56,36 +57,36 @@
     _is_planned: bool = field(default=False, init=False)
 
     def run(self) -> None:
-        """Give up what has waited too long, place what can be placed, and plan the next round."""
+        """Give up requests that have waited too long, place others, and schedule the next round."""
         self._give_up_overdue()
         if self.requests.waiting and self.endpoints.candidates:
             try:
                 self.place_waiting()
-            except Exception:  # protects all requests: they wait for the next round
+            except Exception:  # after an internal error all requests wait for the next round
                 self.errors.report(None)
         if self.requests.waiting and not self._is_planned:
             self._is_planned = True
             self.timers.set(self._interval(), TimerPurpose.ROUND)
 
     def on_timer(self) -> None:
-        """Note that the planned round is this step's."""
+        """Mark the scheduled round as due; it is run in this step."""
         self._is_planned = False
 
     def place_waiting(self) -> None:
         """Make one draw for each request in the pool, oldest first, until no endpoint has capacity."""
-        free = self._free_endpoints()
+        free_count = self._count_free_endpoints()
         for request in list(self.requests.waiting):
-            if free <= 0:
+            if free_count <= 0:
                 break
             if self.clock.now < request.not_before:
                 continue
             try:
-                free -= self._place(request)
-            except Exception:  # protects the other requests of the pool
+                free_count -= self._place(request)
+            except Exception:  # an internal error affects only this request
                 self.errors.report(request.id)
 
     def _place(self, request: Request) -> bool:
-        """Make one draw for the request; return whether that took the last capacity of an endpoint."""
+        """Make one draw for the request; return whether it used the last capacity of an endpoint."""
         endpoint = self.placement.draw(request)
         if endpoint is None:
             return False
@@ -99,7 +100,7 @@
                 continue
             try:
                 self.lifecycle.give_up(request)
-            except Exception:  # protects the other requests of the pool
+            except Exception:  # an internal error affects only this request
                 self.errors.report(request.id)
 
     def _interval(self) -> int:
@@ -110,11 +111,11 @@
         )
         return SLOW_ROUND_INTERVALS * interval if is_slow else interval
 
-    def _free_endpoints(self) -> int:
-        """Return after how many endpoints without capacity a round may end.
+    def _count_free_endpoints(self) -> int:
+        """Return the number of endpoints that must run out of capacity before the round may end.
 
-        That is the number of endpoints with capacity, or one more than the requests in the pool where
-        counting does not pay.
+        This is the number of endpoints with capacity. Where counting them is not worthwhile, it is one more
+        than the number of requests in the pool, so that the round does not end early.
         """
         more_than_waiting = len(self.requests.waiting) + 1
         ready = self.endpoints.candidates[None]
--- a/locktide/scheduler/policy/uniform_placement.py
+++ b/locktide/scheduler/policy/uniform_placement.py
@@ -1,12 +1,12 @@
-"""Uniform placement: the draw where nothing tells the load of endpoints.
+"""Uniform placement: the draw if the load of endpoints is unknown.
 
 The rule: each eligible endpoint is drawn with the same probability, as in the source paper. In a sparse
-fleet, where our even share of an endpoint is under a third of a slot, an idle endpoint that is drawn accepts
-only with the speed of its worker type, as a fraction of the fastest type's, to the power of
-`SPEED_EXPONENT`.
+fleet, where our even share of an endpoint is under a third of a slot, the draw of an endpoint without
+attempts of ours is accepted only with a probability: the speed of its worker type relative to the fastest
+type, to the power of `SPEED_EXPONENT`.
 
-Why: a concurrency limit follows the speed of an endpoint by the ends seen there. Where one of many
-dispatchers sees too few of them, slow types would be sent as much as fast ones and build up queues.
+Why: a concurrency limit adapts to the speed of an endpoint by the attempts that end there. Where each of many
+dispatchers sees too few of them, slow worker types would be sent as much as fast ones and build up queues.
 """
 
 from locktide.scheduler.estimators.random import LinearCongruentialGenerator
@@ -15,8 +15,8 @@
 from locktide.scheduler.policy.placement_strategy import FleetLoad
 from locktide.scheduler.state import Endpoint, FleetEstimates
 
-#: Exponent of the relative speed by which an idle endpoint accepts a draw. By the speed itself loads become
-#: even, by its square waits do.
+#: Exponent of the relative speed in the probability with which a draw is accepted. An exponent of one
+#: equalizes loads, an exponent of two equalizes waits.
 SPEED_EXPONENT = 2
 
 
@@ -33,18 +33,18 @@
         self._ratings = ratings
 
     def configure(self) -> None:
-        """Forget the ratings of an earlier configuration."""
+        """Reset the ratings of an earlier configuration."""
         self._ratings.forget()
 
     def update_ratings(self, entries: list[EndpointEntry]) -> None:
-        """Ignore the ratings: they do not follow load."""
+        """Ignore the ratings, as they do not follow load."""
 
     def draw(self, eligible: list[Endpoint], has_key: bool) -> Endpoint:  # noqa: ARG002 - of the interface
         """Draw one of the endpoints."""
         return eligible[self._random.below(len(eligible))]
 
     def accepts(self, endpoint: Endpoint) -> bool:
-        """Return whether an idle endpoint accepts in a sparse fleet, drawn by its type's speed."""
+        """Return True; in a sparse fleet and without attempts of ours there, draw by its type's speed."""
         if not self._estimates.is_sparse or endpoint.slots_in_flight:
             return True
         speed = self._estimates.throughput.relative_speeds.get(endpoint.worker_type, 1.0)
--- a/locktide/scheduler/scheduler.py
+++ b/locktide/scheduler/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: it wires the mechanisms of `policy` together and hands each event to the one it concerns."""
+"""The scheduler, which wires the policies together and passes each event to the policy that handles it."""
 
 from collections.abc import Callable, Sequence
 from typing import TypeAlias, TypeVar, cast
@@ -65,7 +65,7 @@
 
 
 class Scheduler:
-    """One dispatcher's decisions: `step` takes events and returns commands. It has no I/O and no clock."""
+    """Decides for one dispatcher: `step` takes events and returns commands, without I/O or a clock."""
 
     def __init__(self, seed: int, config: SchedulerConfig) -> None:
         self._create_state(seed, config)
@@ -73,13 +73,13 @@
         self._create_request_policies()
         self._create_placement()
         self._create_event_policies()
-        # `ResponseStarted` and `ProbeCompleted` have no handler: no decision rests on them yet.
+        # `ResponseStarted` and `ProbeCompleted` have no handler: no decision depends on them yet.
         self._handlers: dict[type[object], EventHandler] = {}
         self._register_handlers()
         self._configure()
 
     def step(self, now: int, events: Sequence[Event]) -> list[Command]:
-        """Take in events at the moment `now` (microseconds); the commands are to be executed at once."""
+        """Process events at the time `now` (microseconds); return commands, to be executed at once."""
         self.clock.now = now
         self._commands.clear()
         for event in events:
@@ -89,7 +89,7 @@
             target = self.timers.pending.get(event.timer_id) if type(event) is TimerFired else None
             try:
                 handler(event)
-            except Exception:  # protects the other events: a fault of ours costs one event or request
+            except Exception:  # an internal error affects only one event or request, not the other events
                 self._errors.report(request_id_of(target or event))
         self.endpoint_polling.poll_when_due()
         self.rounds.run()
@@ -261,7 +261,7 @@
         self._handle(TimerFired, self._on_timer)
 
     def _handle(self, event_type: type[EventT], handler: Callable[[EventT], None]) -> None:
-        # A handler is called with events of its own type only, which the table of all of them cannot express.
+        # Each handler is called only with events of its own type, which the type of the table cannot express.
         self._handlers[event_type] = cast(EventHandler, handler)
 
     def _on_config_reloaded(self, event: ConfigReloaded) -> None:
@@ -287,7 +287,7 @@
 
 
 def request_id_of(subject: Event | Attempt | TimerPurpose) -> RequestId | None:
-    """Return the id of the request that an event or a timer belongs to; None without one."""
+    """Return the id of the request to which an event or a timer belongs; None if it belongs to no request."""
     if isinstance(subject, Attempt):
         return subject.request.id
     if isinstance(subject, RequestRecovered):
--- a/locktide/scheduler/state/__init__.py
+++ b/locktide/scheduler/state/__init__.py
@@ -1,4 +1,4 @@
-"""What the scheduler's policies share: requests, attempts, endpoints, estimates. Nothing here decides."""
+"""Data that the policies share: requests, attempts, endpoints, estimates. No decisions are made here."""
 
 from locktide.scheduler.state.active_config import ActiveConfig
 from locktide.scheduler.state.clock import Clock
--- a/locktide/scheduler/state/active_config.py
+++ b/locktide/scheduler/state/active_config.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and what follows from it."""
+"""The configuration in force and values derived from it."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class ActiveConfig:
-    """The configuration in force; requests keep the service class that they came with."""
+    """The configuration in force; after a reload requests keep the service class with which they arrived."""
 
     __slots__ = ("current", "service_classes", "known_service_classes", "dispatcher_share")
 
     def __init__(self, config: SchedulerConfig) -> None:
         self.current = config
         self.service_classes: dict[str, ServiceClass] = {}
-        # Also those of earlier configurations, as requests of them may still come.
+        # Includes the classes of earlier configurations, as requests of these classes may still arrive.
         self.known_service_classes: dict[str, ServiceClass] = {}
-        self.dispatcher_share = 1.0  # our even part of the fleet
+        self.dispatcher_share = 1.0  # this dispatcher's even share of the fleet
         self.replace(config)
 
     def replace(self, config: SchedulerConfig) -> None:
-        """Put another configuration in force."""
+        """Replace the configuration in force."""
         self.current = config
         self.service_classes = {each.name: each for each in config.service_classes}
         self.known_service_classes |= self.service_classes
--- a/locktide/scheduler/state/clock.py
+++ b/locktide/scheduler/state/clock.py
@@ -1,8 +1,8 @@
-"""The time of the scheduler: the moment of its current step."""
+"""The time of the scheduler's current step."""
 
 
 class Clock:
-    """Holds the moment for which `Scheduler.step` was called; it is set by the scheduler alone."""
+    """Time that was passed to `Scheduler.step`; only the scheduler sets it."""
 
     __slots__ = ("now",)
 
--- a/locktide/scheduler/state/command_buffer.py
+++ b/locktide/scheduler/state/command_buffer.py
@@ -15,11 +15,11 @@
         self._commands: list[Command] = []
 
     def clear(self) -> None:
-        """Begin a step: what a step that was broken off left behind is dropped."""
+        """Start a step; drop commands that an interrupted step left behind."""
         self._commands = []
 
     def add(self, command: Command) -> None:
-        """Add a command of this step."""
+        """Add a command to this step."""
         self._commands.append(command)
 
     def log(self, event: LogEvent) -> None:
--- a/locktide/scheduler/state/endpoint.py
+++ b/locktide/scheduler/state/endpoint.py
@@ -1,4 +1,4 @@
-"""A worker as the scheduler sees it."""
+"""The state that the scheduler keeps for a worker."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from locktide.scheduler.events import EndpointEntry
 from locktide.scheduler.types import PlacementConstraint
 
-#: How long successes and failures count, in microseconds: longer than the longest pause of a sound worker,
-#: short beside a lasting outage.
+#: Decay time of the counts of successes and failures, in microseconds: longer than the longest pause of a
+#: healthy worker, short compared with a lasting outage.
 HEALTH_MEMORY = 10_000_000
-#: Memory of what was sent to a warming endpoint, in microseconds, until the slow-start budget sets the
-#: configured window.
+#: Decay time of the sum of work sent to a warming endpoint, in microseconds, until the slow-start budget sets
+#: the configured window.
 INITIAL_SLOW_START_WINDOW = 1_000_000
 
 
 class UnstartedAttempt(Protocol):
-    """What an endpoint has to know of an attempt that has not started."""
+    """Properties of an unstarted attempt that an endpoint uses."""
 
     width: float
     sent_at: int
 
 
 class Endpoint:
-    """One worker: its entry in the endpoint list, our work on it, and what was observed there."""
+    """One worker: its entry in the endpoint list, our attempts there, and what was observed of it."""
 
     __slots__ = (
         "id",
@@ -37,7 +37,7 @@
         "slots_in_flight",
         "concurrency_limit",
         "unstarted",
-        "resting_until",
+        "paused_until",
         "unavailable_until",
         "last_heard_at",
         "successes",
@@ -55,31 +55,31 @@
 
     def __init__(self, entry: EndpointEntry, concurrency_limit: float) -> None:
         self.id = entry.worker
-        self.slots_in_flight = 0.0  # of our attempts
-        self.concurrency_limit = concurrency_limit  # how many slots of ours there may be
-        self.unstarted: dict[UnstartedAttempt, None] = {}  # attempts of ours, oldest first
-        self.resting_until = 0  # while the limit is under one: when we have held our share on average
-        self.unavailable_until = 0  # after it was full, or refused a connection
-        self.last_heard_at = 0  # when it last gave a sign of life
+        self.slots_in_flight = 0.0  # taken by our attempts
+        self.concurrency_limit = concurrency_limit  # how many slots our attempts may take
+        self.unstarted: dict[UnstartedAttempt, None] = {}  # our attempts, oldest first
+        self.paused_until = 0  # under a limit of one slot: end of the pause between two attempts
+        self.unavailable_until = 0  # end of the pause after it was full or refused a connection
+        self.last_heard_at = 0  # time of its last sign of life
         self.successes = DecayingSum(HEALTH_MEMORY)
         self.failures = DecayingSum(HEALTH_MEMORY)
-        self.probed_at = 0  # when a probe was last drawn for
+        self.probed_at = 0  # time of the last random draw for a probe
         self.slow_start_sent = DecayingSum(INITIAL_SLOW_START_WINDOW)
         self.salt = crc32(str(entry.worker).encode())
-        self.idle_connections: list[int] = []  # until when each free connection of ours is kept open
+        self.idle_connections: list[int] = []  # expiry time of each idle connection of ours
         self.update(entry)
         self.reset_rating()
 
     def update(self, entry: EndpointEntry) -> None:
-        """Take over what the endpoint list says of it, but for the rating."""
+        """Copy all fields of its entry in the endpoint list except the rating."""
         self.zone = entry.zone
         self.worker_type = entry.worker_type
         self.cell = entry.cell
         self.state = entry.state
-        self.started_at = entry.started_at  # 0 where that is unknown or long ago
+        self.started_at = entry.started_at  # 0 if that is unknown or long ago
 
-    def is_as_listed(self, entry: EndpointEntry) -> bool:
-        """Return whether the endpoint list says of it what it said before, but for the rating."""
+    def matches_entry(self, entry: EndpointEntry) -> bool:
+        """Return whether the entry is the same as before, apart from the rating."""
         return (
             self.state == entry.state
             and self.started_at == entry.started_at
@@ -89,16 +89,16 @@
         )
 
     def satisfies(self, constraint: PlacementConstraint | None) -> bool:
-        """Return whether its type and zone are among those of the constraint."""
+        """Return whether the constraint allows its worker type and zone."""
         if constraint is None:
             return True
         types, zones = constraint
         return (types is None or self.worker_type in types) and (zones is None or self.zone in zones)
 
     def reset_rating(self) -> None:
-        """Forget its ratings."""
+        """Reset its ratings and the values derived from them."""
         self.rating = 0.0  # as last listed
-        self.load = 0.0  # the requests that it has, for each core
+        self.load = 0.0  # requests per core, from all dispatchers
         self.draw_weight = 1.0
-        self.capacity = 0.0  # the rating of one of its type that has no request
-        self.stale_ratings = 0  # renewals of most ratings since its own was renewed
+        self.capacity = 0.0  # highest rating seen of its worker type: that of an idle one
+        self.stale_ratings = 0  # updates that changed most ratings but not its own
--- a/locktide/scheduler/state/endpoint_table.py
+++ b/locktide/scheduler/state/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The known endpoints, and which of them are candidates for which requests."""
+"""The known endpoints, and the candidates for each placement constraint."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class EndpointTable:
-    """Every endpoint that the list has named, and the ready ones by placement constraint."""
+    """All endpoints that the list has ever named, and the ready ones by placement constraint."""
 
     __slots__ = ("by_id", "candidates")
 
     def __init__(self) -> None:
         self.by_id: dict[WorkerId, Endpoint] = {}
-        # Ready endpoints that satisfy each placement constraint; under None every ready one. Another object
-        # after each change.
+        # Ready endpoints that satisfy each placement constraint; key None: all ready endpoints. Each change
+        # replaces the dictionary with a new object.
         self.candidates: dict[PlacementConstraint | None, list[Endpoint]] = {}
 
     def rebuild_candidates(self, service_classes: Iterable[ServiceClass]) -> None:
-        """Sort the ready endpoints by the placement constraints of the service classes."""
+        """Find the ready endpoints for each placement constraint of the service classes."""
         ready = [endpoint for endpoint in self.by_id.values() if endpoint.state == READY]
         constraints = {None} | {each.placement for each in service_classes}
         self.candidates = {
--- a/locktide/scheduler/state/internal_errors.py
+++ b/locktide/scheduler/state/internal_errors.py
@@ -1,4 +1,4 @@
-"""Faults of the scheduler itself: what they cost and how they are reported."""
+"""Internal errors of the scheduler: how they are contained and reported."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from locktide.scheduler.state.request_pool import RequestPool
 from locktide.scheduler.types import RequestId
 
-TRACEBACK_LINES = 3  # the last ones: the call that failed, its source line and the exception
+TRACEBACK_LINES = 3  # the last lines: the call that failed, its source line and the exception
 
 
 class InternalErrors:
-    """Confines a fault of ours to the event, or the request, on which it shows."""
+    """Limits the effect of an internal error to the event or request in which it occurred."""
 
     __slots__ = ("_commands", "_requests")
 
@@ -22,7 +22,7 @@
         self._requests = requests
 
     def report(self, request_id: RequestId | None) -> None:
-        """Report the exception that is being handled; the host answers the request, if one is named."""
+        """Report the exception being handled; the host responds to the request, if there is one."""
         detail = " | ".join(format_exc().splitlines()[-TRACEBACK_LINES:])
         request = None if request_id is None else self._requests.open.get(request_id)
         if request is not None:
--- a/locktide/scheduler/state/list_update.py
+++ b/locktide/scheduler/state/list_update.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list, merged into the known endpoints."""
+"""Merges updates of the endpoint list into the known endpoints."""
 
 from locktide.scheduler.events import EndpointEntry, EndpointListUpdate
 from locktide.scheduler.state.endpoint import Endpoint
@@ -7,7 +7,7 @@
 # Bound once: an access through the enum class costs 0.2 to 0.3 us on Python 3.11.
 DRAINING = EndpointState.DRAINING
 GONE = EndpointState.GONE
-#: Updates that name every endpoint there is.
+#: Updates that contain the complete endpoint list.
 WHOLE_LISTS = (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED)
 
 
@@ -16,10 +16,10 @@
 ) -> tuple[bool, list[Endpoint]]:
     """Merge an update into the endpoints.
 
-    Endpoints that are new begin with `concurrency_limit`; those that a whole list does not name are gone.
+    New endpoints start with `concurrency_limit`. Endpoints that a complete list does not name are gone.
 
     Returns:
-        Whether more has changed than ratings, and the endpoints that have begun to drain.
+        Whether anything except ratings has changed, and the endpoints that have started draining.
     """
     changed = False
     draining = list[Endpoint]()
@@ -37,12 +37,12 @@
 
 
 def _merge_entry(endpoints: dict[WorkerId, Endpoint], entry: EndpointEntry, concurrency_limit: float) -> bool:
-    """Merge one entry; return whether the endpoint is new, or more than its rating has changed."""
+    """Merge one entry; return whether the endpoint is new, or anything except its rating has changed."""
     endpoint = endpoints.get(entry.worker)
     if endpoint is None:
         endpoints[entry.worker] = Endpoint(entry, concurrency_limit)
         return True
-    if endpoint.is_as_listed(entry):
+    if endpoint.matches_entry(entry):
         return False
     endpoint.update(entry)
     return True
--- a/locktide/scheduler/state/load_estimator.py
+++ b/locktide/scheduler/state/load_estimator.py
@@ -1,25 +1,25 @@
-"""The load of endpoints, estimated from ratings that fall with it."""
+"""Estimates the load of endpoints from ratings that fall with load."""
 
 from locktide.scheduler.events import EndpointEntry
 from locktide.scheduler.state.endpoint import Endpoint
 from locktide.scheduler.types import WorkerId
 
-#: The least rating that a load is computed from, so that a rating of zero divides by something.
+#: Minimum rating in the computation of a load; prevents a division by zero.
 MIN_RATING = 1e-3
 
 
 class LoadEstimator:
-    """Estimates how many requests each endpoint has for each core.
+    """Estimates the requests per core of each endpoint.
 
-    A rating is size / (1 + requests for each core). The size of a worker type is the highest rating seen of
-    it: that of an endpoint without a request.
+    A rating is size / (1 + requests per core). The size of a worker type is the highest rating seen of any
+    endpoint of this type, which is the rating of an idle one.
     """
 
     def __init__(self) -> None:
         self._capacities: dict[str, float] = {}  # the highest rating seen, by worker type
 
     def update(self, endpoints: dict[WorkerId, Endpoint], entries: list[EndpointEntry]) -> int:
-        """Take in new ratings; return how many differ from those before."""
+        """Process new ratings; return how many of them differ from the previous ones."""
         renewed = 0
         for entry in entries:
             capacity = self._capacities.get(entry.worker_type, 0.0)
--- a/locktide/scheduler/state/open_attempts.py
+++ b/locktide/scheduler/state/open_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: what each takes up at its endpoint while it has no outcome."""
+"""Attempts in flight, and the slots that they take at their endpoints."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class OpenAttempts:
-    """Opens and closes attempts, and counts what is in flight."""
+    """Opens and closes attempts, and counts the slots in flight."""
 
     __slots__ = ("slots", "_clock", "_config")
 
     def __init__(self, clock: Clock, config: ActiveConfig) -> None:
         self._clock = clock
         self._config = config
-        self.slots = 0.0  # of ours in flight, on all endpoints together
+        self.slots = 0.0  # taken by our attempts in flight, on all endpoints together
 
     def open(self, request: Request, endpoint: Endpoint) -> Attempt:
-        """Count a new attempt as in flight."""
+        """Create an attempt and count it as in flight."""
         attempt = Attempt(request, len(request.attempts), endpoint, self._clock.now)
         request.attempts.append(attempt)
         request.possibly_executed.append(attempt)
@@ -37,7 +37,7 @@
         attempt.endpoint.slots_in_flight += request.width
 
     def close(self, attempt: Attempt, keeps_connection: bool) -> None:
-        """Count an attempt as ended; its connection may be free for another one now."""
+        """Count an attempt as ended; with `keeps_connection`, its connection becomes idle."""
         request = attempt.request
         endpoint = attempt.endpoint
         request.open_attempts.remove(attempt)
--- a/locktide/scheduler/state/recovery.py
+++ b/locktide/scheduler/state/recovery.py
@@ -1,4 +1,4 @@
-"""Attempts that an earlier process made, as data of this one."""
+"""Restores attempts that an earlier process of this dispatcher made."""
 
 from locktide.scheduler.events import EndpointEntry, RecoveredAttempt
 from locktide.scheduler.state.endpoint import Endpoint
@@ -9,14 +9,14 @@
 
 
 class AttemptRecovery:
-    """Restores the attempts of a request that an earlier process had accepted."""
+    """Restores the attempts of requests that an earlier process had accepted."""
 
     def __init__(self, endpoints: EndpointTable, attempts: OpenAttempts) -> None:
         self._endpoints = endpoints
         self._attempts = attempts
 
     def restore(self, request: Request, recovered: list[RecoveredAttempt]) -> None:
-        """Add the attempts to the request; what may have run binds it as if this process had sent it."""
+        """Add the attempts to the request; they restrict its retries as if this process had made them."""
         for earlier in recovered:
             endpoint = self._endpoint_of(earlier)
             attempt = Attempt(request, len(request.attempts), endpoint, earlier.sent_at)
@@ -30,9 +30,11 @@
 
     def _endpoint_of(self, earlier: RecoveredAttempt) -> Endpoint:
         endpoint = self._endpoints.by_id.get(earlier.worker)
-        # A worker that has moved to another zone or cell since would draw the repeats after it, to workers
-        # that do not know the idempotency key: repeats are dropped where it was then.
+        # If the worker has moved to another zone or cell since, the request must not be repeated in the new
+        # one: workers there do not know the idempotency key. Workers in the former zone or cell drop repeats.
         if endpoint is None or (endpoint.zone, endpoint.cell) != (earlier.zone, earlier.cell):
             entry = EndpointEntry(earlier.worker, earlier.zone, "", earlier.cell, EndpointState.GONE, 1.0, 0)
-            return Endpoint(entry, concurrency_limit=1.0)  # any limit: nothing is sent to it
+            return Endpoint(
+                entry, concurrency_limit=1.0
+            )  # the value has no effect, as nothing is sent to this endpoint
         return endpoint
--- a/locktide/scheduler/state/request.py
+++ b/locktide/scheduler/state/request.py
@@ -1,4 +1,4 @@
-"""One request and its attempts. Times are microseconds of the scheduler's clock."""
+"""Requests and their attempts. Times are in microseconds, on the scheduler's clock."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         "possibly_executed",
         "uncounted_attempts",
         "error_endpoints",
-        "in_pool",
+        "is_in_pool",
         "is_answered",
         "is_background",
         "fails_anywhere",
@@ -41,18 +41,18 @@
         self.id = arrival.request_id
         self.service_class = service_class
         self.width = arrival.width  # slots of a worker
-        self.work_hint = arrival.work_hint  # its run time as the client estimates it; 0: no estimate
-        self.sequence = sequence  # in the order of arrival
+        self.work_hint = arrival.work_hint  # the client's estimate of the run time; 0: no estimate
+        self.sequence = sequence  # number in the order of arrival
         self.arrived_at = now
         self.deadline = arrival.deadline
-        self.queue_deadline = self.deadline  # when waiting in the pool stops to pay
-        self.not_before = 0  # after a worker was full: when it may be sent again
+        self.queue_deadline = self.deadline  # until when it may wait in the pool
+        self.not_before = 0  # end of the back-off after a worker was full
         self.attempts: list[Attempt] = []
         self.open_attempts: list[Attempt] = []  # those without an outcome
-        self.possibly_executed: list[Attempt] = []  # attempts not proven never to have run
-        self.uncounted_attempts = 0  # attempts that do not count towards the most there may be
-        self.error_endpoints: list[Endpoint] = []  # not suspected ones at which it failed
-        self.in_pool = False
+        self.possibly_executed: list[Attempt] = []  # attempts that are not proven not to have run
+        self.uncounted_attempts = 0  # attempts that do not count towards `max_attempts`
+        self.error_endpoints: list[Endpoint] = []  # where it failed while they were not suspected
+        self.is_in_pool = False
         self.is_answered = False
         self.is_background = arrival.background
         self.fails_anywhere = False  # it has failed at two endpoints that were not suspected
@@ -60,11 +60,11 @@
         self.is_at_most_once = service_class.effect == Effect.AT_MOST_ONCE
         self.affinity_key = arrival.affinity_key
         self.placement = service_class.placement
-        self.borrowing_tenant: TenantId | None = None  # its tenant, where a loan covers it
+        self.borrowing_tenant: TenantId | None = None  # its tenant, if borrowed quota covers it
 
 
 class Attempt:
-    """When and where a request was sent, and the signs of the attempt since then."""
+    """One sending of a request to an endpoint, and what was reported of it since."""
 
     __slots__ = (
         "request",
@@ -73,14 +73,14 @@
         "zone",
         "cell",
         "width",
-        "ordered_at",
+        "commanded_at",
         "sent_at",
         "started_at",
         "last_heard_at",
         "filled_limit",
         "is_retry",
-        "failure_recorded",
-        "no_start_at",
+        "has_recorded_failure",
+        "no_start_recorded_at",
         "cancelled_at",
         "awaits_budget",
     )
@@ -89,18 +89,21 @@
         self.request = request
         self.number = number
         self.endpoint = endpoint
-        self.zone = endpoint.zone  # where it was sent, also if its worker is listed elsewhere since
+        self.zone = (
+            endpoint.zone
+        )  # at the time of sending, even if the worker is listed in another zone since
         self.cell = endpoint.cell
         self.width = request.width
-        self.ordered_at = now  # when its command was given
-        self.sent_at = now  # the same, until its last byte is reported as sent
-        self.started_at = 0  # 0 until its worker reports the start
-        self.last_heard_at = 0  # when its worker last reported its start or progress
-        # Whether it took what the concurrency limit had left.
+        self.commanded_at = now  # when its `StartAttempt` was issued
+        self.sent_at = now  # `commanded_at` until its last byte is reported as sent
+        self.started_at = 0  # 0 until the worker reports the start
+        self.last_heard_at = 0  # when the worker last reported its start or progress
+        # Whether it took the last capacity under the concurrency limit.
         self.filled_limit = endpoint.slots_in_flight + request.width > endpoint.concurrency_limit - 1
-        # Whether an earlier attempt may have run; one after a worker that was full is no retry in this sense.
+        # Whether an earlier attempt may have run. An attempt after a worker that was full is not a retry in
+        # this sense.
         self.is_retry = bool(request.possibly_executed)
-        self.failure_recorded = False  # whether it has made its endpoint suspected
-        self.awaits_budget = False  # whether only the retry budget keeps it from being cancelled for a retry
-        self.cancelled_at = 0  # when its cancellation was ordered; else 0
-        self.no_start_at = 0  # when that was for want of a start, and has not been taken back; else 0
+        self.has_recorded_failure = False  # whether it was recorded as a failure of its endpoint
+        self.awaits_budget = False  # whether only the retry budget prevents its cancellation for a retry
+        self.cancelled_at = 0  # when its `CancelAttempt` was issued; else 0
+        self.no_start_recorded_at = 0  # when a missing start was recorded as a failure, unless undone; else 0
--- a/locktide/scheduler/state/request_pool.py
+++ b/locktide/scheduler/state/request_pool.py
@@ -1,4 +1,4 @@
-"""The open requests, and those of them that wait for a worker."""
+"""The open requests, and the pool of those that wait for a worker."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 
 
 class RequestPool:
-    """Every request that has no response, or an attempt in flight; the pool are those that wait."""
+    """All requests without a response or with an attempt in flight; the waiting ones form the pool."""
 
     __slots__ = ("open", "waiting")
 
     def __init__(self) -> None:
         self.open: dict[RequestId, Request] = {}
-        self.waiting: list[Request] = []  # for a worker, oldest first
+        self.waiting: list[Request] = []  # the pool, oldest request first
 
     def add(self, request: Request) -> None:
-        """Add a request that came; it does not wait yet."""
+        """Add a request as open, without putting it into the pool."""
         self.open[request.id] = request
 
     def enter(self, request: Request) -> None:
-        """Let the request wait, by its age."""
-        if not request.in_pool:
-            request.in_pool = True
+        """Put the request into the pool, in the order of arrival."""
+        if not request.is_in_pool:
+            request.is_in_pool = True
             insort(self.waiting, request, key=lambda each: each.sequence)
 
     def leave(self, request: Request) -> None:
-        """End the wait of the request."""
-        if request.in_pool:
-            request.in_pool = False
+        """Remove the request from the pool."""
+        if request.is_in_pool:
+            request.is_in_pool = False
             self.waiting.remove(request)
 
     def close(self, request: Request) -> None:
-        """Count the request as answered; it is forgotten at the end of its last attempt."""
+        """Mark the request as answered; it is removed when its last attempt has ended."""
         request.is_answered = True
         if not request.open_attempts:
             self.open.pop(request.id, None)
         self.leave(request)
 
     def forget(self, request: Request) -> None:
-        """Remove a request that is answered and has no attempt in flight any more."""
+        """Remove an answered request that has no attempt in flight."""
         del self.open[request.id]
 
     def find_attempt(self, request_id: RequestId, number: int) -> Attempt | None:
-        """Return an attempt of an open request, or None."""
+        """Return an attempt of an open request, or None if there is no such attempt."""
         request = self.open.get(request_id)
         return request.attempts[number] if request is not None and number < len(request.attempts) else None
--- a/locktide/scheduler/state/timers.py
+++ b/locktide/scheduler/state/timers.py
@@ -1,4 +1,4 @@
-"""Timers that were set and have not fired, and what each of them is for."""
+"""Timers that were set and have not fired, and the purpose of each."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class TimerPurpose(Enum):
-    """What a timer that belongs to no attempt was set for."""
+    """Purpose of a timer that belongs to no attempt."""
 
     ROUND = "round"
     POLL = "poll"
 
 
 class Timers:
-    """Sets timers and finds what a timer that fired was set for."""
+    """Sets timers and keeps the attempt or purpose of each."""
 
     __slots__ = ("pending", "_commands", "_last_id")
 
--- a/locktide/scheduler/types.py
+++ b/locktide/scheduler/types.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import TypeAlias
 
-# Ids are the host's own, strings of a dispatcher and numbers of the simulator: the scheduler only hashes and
+# The host chooses the ids: the dispatcher uses strings, the simulator numbers. The scheduler only hashes and
 # compares them.
 RequestId: TypeAlias = str | int
 WorkerId: TypeAlias = str
@@ -13,10 +13,10 @@
 
 
 class Effect(StrEnum):
-    """How far a request of a service class may be repeated."""
+    """Whether a request of a service class may be sent more than once."""
 
     IDEMPOTENT = "idempotent"
-    IDEMPOTENT_WITH_KEY = "idempotent with key"  # repeats are dropped within a scope and a time window
+    IDEMPOTENT_WITH_KEY = "idempotent with key"  # workers drop repeats within a scope and a time window
     AT_MOST_ONCE = "at most once"
 
 
@@ -39,12 +39,13 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
-    UNPROCESSABLE = "unprocessable"  # the worker rejected the request itself: any other worker would, too
-    # An idle connection broke without a word, most likely closed as idle, or the worker has restarted since.
+    UNPROCESSABLE = "unprocessable"  # the worker rejected the request as invalid; any other worker would, too
+    # A reused idle connection broke before any response. Most likely the worker had closed it as idle, or had
+    # restarted.
     CONNECTION_CLOSED = "connection closed"
 
 
-# Outcomes after which the request is certain not to have run on the worker.
+# Outcomes that prove that the request did not run on the worker.
 PROVEN_NOT_RUN = frozenset(
     (
         AttemptOutcome.FULL,
@@ -53,7 +54,7 @@
         AttemptOutcome.UNPROCESSABLE,
     )
 )
-# Outcomes after which no last byte was sent.
+# Outcomes of attempts whose last byte was never sent.
 UNSENT = frozenset((AttemptOutcome.NO_CONNECTION, AttemptOutcome.NEVER_SENT))
 # Outcomes that say nothing about the health of the worker.
 UNINFORMATIVE = frozenset(
@@ -67,14 +68,14 @@
     NO_CONNECTION = "no_connection"
     RESET = "reset"
     ERROR = "error"
-    NO_START = "no_start"  # an attempt did not start, and nothing else was heard of the worker since
-    NO_PROGRESS = "no_progress"  # a running job stopped reporting
+    NO_START = "no_start"  # an attempt did not start, and the worker has given no other sign of life since
+    NO_PROGRESS = "no_progress"  # a running job stopped reporting progress
     SLOW_PROGRESS = "slow_progress"  # a running job is far slower than its class usually is
-    STALE_RATING = "stale_rating"  # its load rating was not renewed while most others were
+    STALE_RATING = "stale_rating"  # its load rating stayed the same while most others changed
 
 
 class QuotaCoverage(StrEnum):
-    """What of its tenant's quota covers a request."""
+    """Which part of its tenant's quota covers a request, if any."""
 
     OWN = "own"
     BORROWED = "borrowed"
@@ -86,13 +87,13 @@
 
     SNAPSHOT = "snapshot"
     DELTA = "delta"
-    CACHED = "cached"  # the list as this dispatcher last had it, from before its start
-    FETCH_FAILED = "fetch failed"  # the service rejected the call
-    FETCH_TIMED_OUT = "fetch timed out"  # the service did not respond: the call was not received
+    CACHED = "cached"  # the last list that this dispatcher had before it was restarted
+    FETCH_FAILED = "fetch failed"  # the discovery service rejected the call
+    FETCH_TIMED_OUT = "fetch timed out"  # the discovery service did not respond: the call was not received
 
 
 class EndpointState(StrEnum):
-    """What a listed worker is doing."""
+    """State of a worker in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
--- a/tests/scheduler/test_affinity.py
+++ b/tests/scheduler/test_affinity.py
@@ -34,10 +34,10 @@
         )
         self.request = Request(RequestArrived(1, "view", 3_000_000), GRADES[0], 0, 1)
 
-    def nearest(self, now: int = 0) -> list[Endpoint]:
+    def select_endpoints(self, now: int = 0) -> list[Endpoint]:
         """Return the endpoints that the request is drawn among at this moment."""
         self.clock.now = now
-        return self.router.nearest(self.request, KEY, self.endpoints.candidates[None])
+        return self.router.select_endpoints(self.request, KEY, self.endpoints.candidates[None])
 
 
 def test_the_first_key_after_a_restart_has_a_few_endpoints() -> None:
@@ -47,13 +47,13 @@
     """
     routing = Routing()
     routing.frequencies.count(KEY, 0)
-    assert len(routing.nearest()) == 5  # half as many again as a sixth of twenty
+    assert len(routing.select_endpoints()) == 5  # half as many again as a sixth of twenty
 
 
 @pytest.mark.parametrize(("runs_waited", "count"), [(0.0, 2), (0.5, 4), (1.0, 8), (5.0, 20)])
 def test_the_endpoints_of_a_key_double_in_each_half_of_a_usual_run(runs_waited: float, count: int) -> None:
     routing = Routing()
-    assert len(routing.nearest(int(runs_waited * USUAL_RUN))) == count
+    assert len(routing.select_endpoints(int(runs_waited * USUAL_RUN))) == count
 
 
 def test_a_crowded_endpoint_of_a_key_is_passed_over_and_not_replaced() -> None:
@@ -63,7 +63,7 @@
     still. A crowded endpoint gets no request, but it counts among those of the key.
     """
     routing = Routing()
-    first, second = routing.nearest()
+    first, second = routing.select_endpoints()
     first.load = 2.0
     routing.estimates.mean_load = 0.5
-    assert routing.nearest() == [second]
+    assert routing.select_endpoints() == [second]
--- a/tests/scheduler/test_decisions.py
+++ b/tests/scheduler/test_decisions.py
@@ -495,7 +495,7 @@
     service.list(listed("w0"), listed("w1"))
     service.arrive(1, "cash")
     for worker in service.dispatcher.endpoints.by_id.values():
-        worker.resting_until = service.now + 950_000  # so that it has to wait where it is back
+        worker.paused_until = service.now + 950_000  # so that it has to wait where it is back
     service.pass_time(900_000)
     service.end(1, 0, AttemptOutcome.NO_CONNECTION)
     assert 1 not in service.answered
--- a/tests/scheduler/test_retry_eligibility.py
+++ b/tests/scheduler/test_retry_eligibility.py
@@ -10,10 +10,10 @@
 from locktide.scheduler.config import ServiceClass
 from locktide.scheduler.events import RequestArrived
 from locktide.scheduler.policy.retry_eligibility import (
+    endpoints_for_repeat,
     may_attempt,
     may_reject,
-    repeats_until,
-    where_repeatable,
+    repeatable_until,
 )
 from locktide.scheduler.state import Attempt, Endpoint, Request
 from locktide.scheduler.types import DeduplicationScope, Effect
@@ -62,8 +62,8 @@
 def test_the_deduplication_window_counts_from_the_first_attempt_that_may_have_run() -> None:
     request = attempted_request(Effect.IDEMPOTENT_WITH_KEY, attempts=2)
     request.attempts[1].sent_at = SENT_AT + WINDOW // 2
-    assert repeats_until(request) == SENT_AT + WINDOW
-    assert repeats_until(attempted_request(Effect.IDEMPOTENT)) is None
+    assert repeatable_until(request) == SENT_AT + WINDOW
+    assert repeatable_until(attempted_request(Effect.IDEMPOTENT)) is None
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.CELL, DeduplicationScope.ZONE])
@@ -78,7 +78,7 @@
     request = attempted_request(Effect.IDEMPOTENT_WITH_KEY, scope)
     request.possibly_executed[0].endpoint.update(listed("w", cell=4))
     neighbours = [Endpoint(listed(f"n{cell}", cell=cell), concurrency_limit=1.0) for cell in (0, 4)]
-    assert where_repeatable(request, neighbours, SENT_AT + 1) == neighbours[:1]
+    assert endpoints_for_repeat(request, neighbours, SENT_AT + 1) == neighbours[:1]
 
 
 def test_attempts_are_limited_and_uncounted_ones_do_not_count() -> None:
--- a/tests/scheduler/test_run_time.py
+++ b/tests/scheduler/test_run_time.py
@@ -51,13 +51,13 @@
     The few run times known by then say nothing of how far sound runs differ. No run may count as long before
     five ends are known.
     """
-    assert ended(*[100_000] * 4).long(SECOND) == NEVER_LONG
+    assert ended(*[100_000] * 4).long_run_time(SECOND) == NEVER_LONG
 
 
 def test_long_is_three_standard_deviations_over_the_mean() -> None:
     run_times = [100_000, 300_000] * 4
-    assert ended(*run_times).long(SECOND) == pytest.approx(200_000 + 3 * 100_000)
+    assert ended(*run_times).long_run_time(SECOND) == pytest.approx(200_000 + 3 * 100_000)
 
 
 def test_equal_run_times_have_no_deviation() -> None:
-    assert ended(*[100_000] * 8).long(SECOND) == pytest.approx(100_000)
+    assert ended(*[100_000] * 8).long_run_time(SECOND) == pytest.approx(100_000)
