--- a/locktide/dispatcher/attempts.py
+++ b/locktide/dispatcher/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: each runs in a task of its own, from its lease to the worker's reply."""
+"""Runs attempts: a task for each, which gets its lease, sends its job and applies the worker's reply."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class AttemptRunner:
-    """Runs attempts; how the job itself ended is reported by callback, see `CallbackHandler`."""
+    """Runs attempts up to the worker's reply; callbacks report how the job ended, see `CallbackHandler`."""
 
     registry: RequestRegistry
     tasks: BackgroundTasks
@@ -29,11 +29,11 @@
     log: Log
 
     def start_attempt(self, command: StartAttempt) -> None:
-        """Start the next attempt of a request for the scheduler."""
+        """Start the next attempt of a request, as commanded by the scheduler."""
         request = self.registry.get(command.request_id)
         if request is None:
             self.log.emit(
-                f"request {command.request_id}: an attempt after its end, not sent",
+                f"request {command.request_id}: attempt discarded, the request has ended",
                 event="attempt_discarded",
                 request=command.request_id,
             )
@@ -44,8 +44,8 @@
         attempt.task = self.tasks.start(self._run(request, attempt), request.message.background)
 
     async def _run(self, request: OpenRequest, attempt: OpenAttempt) -> None:
-        # The loop reports a reset by the client one turn after the poll that found it. Without this turn the
-        # first byte of an attempt could be sent for a client that is already known to have gone.
+        # The event loop reports a client's reset one turn after the poll that found it. Without this extra
+        # turn, an attempt could be sent for a client that is already known to have disconnected.
         await asyncio.sleep(0)
         result: SendResult = AttemptOutcome.NEVER_SENT
         if await self.leases.grant(request, attempt):
--- a/locktide/dispatcher/callbacks.py
+++ b/locktide/dispatcher/callbacks.py
@@ -1,4 +1,4 @@
-"""The workers' callbacks: what they report of the attempts that they have."""
+"""Callbacks: the workers' messages on the attempts that were sent to them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     cancellations: CancellationService
 
     def handle_callback(self, message: Callback) -> None:
-        """Apply one callback; one that is late, or about nothing that is open, changes nothing."""
+        """Apply one callback; ignore it if no open attempt at that worker can have caused it."""
         request = self.registry.get(message.request_id)
         attempt = request.attempt_running_at(message.worker) if request is not None else None
         if request is None or attempt is None:
@@ -48,10 +48,11 @@
     def _finish_unsuccessful(
         self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome
     ) -> None:
-        # A worker repeats a callback whose 204 was lost. One about an earlier attempt there, taken for the
-        # end of this one, would allow a retry while this one runs
+        # A worker repeats a callback whose 204 was lost. If the worker had accepted an earlier attempt of
+        # this request, the callback may be about that one: taken for the end of the later attempt, it would
+        # allow a retry while that attempt still runs
         # (test_repeated_callback_about_an_earlier_attempt_does_not_end_the_later_one_there).
-        if request.accepted_there_before(attempt):
+        if request.worker_accepted_earlier_attempt(attempt):
             self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.CONNECTION_CLOSED)
         else:
             self.completion.finish(request, attempt, outcome)
--- a/locktide/dispatcher/cancellation.py
+++ b/locktide/dispatcher/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancelling attempts: one that its worker may have ends once the worker is notified, and not before."""
+"""Cancels attempts: one that its worker may have ends only once the worker is notified."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class CancellationService:
-    """Cancels attempts: before the 202 by closing the connection too, and in any case by a message."""
+    """Cancels attempts by a message to the worker and, before its 202, by closing the connection as well."""
 
     registry: RequestRegistry
     completion: AttemptCompletion
@@ -23,7 +23,7 @@
     tasks: BackgroundTasks
 
     def cancel_attempt(self, command: CancelAttempt) -> None:
-        """Cancel an attempt for the scheduler."""
+        """Cancel an attempt, as commanded by the scheduler."""
         request = self.registry.get(command.request_id)
         if request is None or command.attempt >= len(request.attempts):
             return
@@ -32,8 +32,8 @@
             return
         attempt.is_cancelling = True
         if not self.start_cancelling(request, attempt):
-            was_begun = attempt.stage >= AttemptStage.SENDING
-            outcome = AttemptOutcome.CANCELLED if was_begun else AttemptOutcome.NEVER_SENT
+            has_begun_sending = attempt.stage >= AttemptStage.SENDING
+            outcome = AttemptOutcome.CANCELLED if has_begun_sending else AttemptOutcome.NEVER_SENT
             self.completion.finish(request, attempt, outcome)
 
     def cancel_unfinished(self, request: OpenRequest) -> None:
@@ -42,25 +42,29 @@
             self.cancel_attempt(CancelAttempt(request.message.id, attempt.number))
 
     def cancel_lost(self, worker: str, started_at: int) -> None:
-        """Cancel the attempts sent to a worker before its process last started, in microseconds.
+        """Cancel the attempts that were sent to a worker before its process started.
 
-        The new process does not have them, and a callback about their loss may never come: a request would
-        wait until its deadline with its slots taken. The restart alone does not end them either, as the list
-        may be ahead of the old process; so the new process is to confirm the cancellation first. Sent
-        elsewhere before that, the job was a second copy
+        The new process does not have these attempts, and a callback that reports their loss may never come:
+        the request would wait until its deadline and occupy its slots. The restart alone does not end them,
+        because the endpoint list may show it while the old process still runs: a job that was sent to another
+        worker then was a second copy. So the new process has to confirm the cancellation first
         (test_attempt_sent_before_its_worker_restarted_is_cancelled_and_a_later_one_is_not).
+
+        Args:
+            worker: Name of the worker.
+            started_at: When its process last started, in microseconds.
         """
         for request in list(self.registry.open_requests.values()):
             for attempt in request.unfinished_attempts():
-                is_there = attempt.worker == worker and attempt.possibly_running
-                if is_there and attempt.sent_at < started_at:
+                is_at_worker = attempt.worker == worker and attempt.is_possibly_running
+                if is_at_worker and attempt.sent_at < started_at:
                     self.cancel_and_finish(request, attempt, AttemptOutcome.CONNECTION_CLOSED)
 
     def expire_lease(self, request_id: str, fence: int) -> None:
-        """Cancel the attempt whose lease has expired, given its fencing number.
+        """Cancel the attempt with that fencing number, as its lease has expired.
 
-        The attempt ends once its worker is notified, or the delivery is given up: a retry before that would
-        be a second copy.
+        The attempt ends once its worker is notified or the delivery is given up: a retry before that could be
+        a second copy.
         """
         request = self.registry.get(request_id)
         if request is None:
@@ -71,21 +75,24 @@
                 self.cancel_attempt(CancelAttempt(request_id, attempt.number))
 
     def cancel_and_finish(self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
-        """End a possibly running attempt with `outcome`, once its worker is notified to cancel it."""
-        if attempt.possibly_running and not attempt.is_cancelling:
+        """Cancel a possibly running attempt; end it with `outcome` once its worker is notified."""
+        if attempt.is_possibly_running and not attempt.is_cancelling:
             attempt.is_cancelling = True
             self.start_cancelling(request, attempt, outcome)
 
     def start_cancelling(
         self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome = AttemptOutcome.CANCELLED
     ) -> bool:
-        """Close the connection; return whether a message follows, after which the attempt gets `outcome`."""
-        attempt.task.cancel()  # closes the connection, where its reply is still awaited
-        # A 202 may be on its way: the worker has accepted the job then, and a retry elsewhere before the
-        # message has reached it is a second copy.
-        if attempt.possibly_running:
+        """Close the connection; return whether a cancellation is sent as well.
+
+        If so, the attempt ends with `outcome` once the cancellation is delivered or given up.
+        """
+        attempt.task.cancel()  # closes the connection if the reply is still awaited
+        # A 202 may be on its way: the worker has accepted the job then, and a retry at another worker before
+        # the cancellation has arrived would be a second copy.
+        if attempt.is_possibly_running:
             self.tasks.start(self._deliver(request, attempt, outcome))
-        return attempt.possibly_running
+        return attempt.is_possibly_running
 
     async def _deliver(self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
         await self.delivery.deliver(request, attempt)
--- a/locktide/dispatcher/cancellation_delivery.py
+++ b/locktide/dispatcher/cancellation_delivery.py
@@ -1,4 +1,4 @@
-"""Delivering a cancellation to a worker, for as long as anything depends on it."""
+"""Delivers cancellations to workers and repeats them while anything depends on the delivery."""
 
 from __future__ import annotations
 
@@ -14,35 +14,36 @@
 from locktide.transport.log import Log
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
-#: Sends of a cancellation that follow one another without a delay. Idle connections to a worker break
-#: together: the second send is on a new connection, and the third is for a new one that breaks by itself.
+#: Number of sends of a cancellation that follow one another without a delay. Idle connections to a worker
+#: often break together, so the second send uses a new connection; the third is for a new one that breaks.
 IMMEDIATE_SENDS = 3
-#: How long a send on a new connection may take, in connect timeouts: one to connect, one for the reply.
+#: Timeout of a send on a new connection, in connect timeouts: one to connect, one for the reply.
 NEW_CONNECTION_TIMEOUTS = 2
-#: Delay before each later send, in connect timeouts. A send to an unreachable worker takes one of them: a
-#: descriptor is in use a fifth of the time, and a worker that is back is notified within about a second.
+#: Delay before each later send, in connect timeouts. A send to an unreachable worker takes one connect
+#: timeout, so its descriptor is in use a fifth of the time, and a worker that can be reached again is
+#: notified within about a second.
 RESEND_DELAY_TIMEOUTS = 4
 
 
 @dataclass(slots=True)
 class _Message:
-    """The message of one send, and whether it was sent completely."""
+    """The cancellation message of one send, and whether all of it was sent."""
 
     request: UpstreamRequest
     was_sent: bool = False
 
     def build(self) -> UpstreamRequest:
-        """Return the message, right before its first byte."""
+        """Return the message; called right before its first byte is sent."""
         return self.request
 
     def note_sent(self) -> None:
-        """Record that the kernel has the last byte."""
+        """Record that the kernel has taken the last byte."""
         self.was_sent = True
 
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class CancellationDelivery:
-    """Sends cancellations to workers, and repeats them until each is delivered or obsolete."""
+    """Sends each cancellation until it is delivered or obsolete."""
 
     upstream: RequestSender
     endpoints: EndpointDirectory
@@ -52,10 +53,11 @@
     async def deliver(self, request: OpenRequest, attempt: OpenAttempt) -> bool:
         """Deliver the cancellation of an attempt; return whether the worker is notified.
 
-        A worker is notified once it has replied, or has the whole message on a connection that came up for
-        it: it is reachable then, and reads that before it works on. An idle connection may lead to a process
-        that is gone, and one that does not come up has carried nothing. Retries that relied on such silence
-        were second copies. Once the cancellation is obsolete, the immediate sends are the last.
+        A worker counts as notified once it has replied, or once the whole message is sent on a connection
+        that was opened for it: the worker is reachable then, and reads the message before it continues its
+        work. Silence proves nothing on an idle connection, whose process may be gone, nor on a connection
+        that was not established: retries that relied on it were second copies. An obsolete cancellation is
+        not sent again after the immediate sends.
         """
         connect_timeout = self.settings.connect_within / MICROSECONDS_PER_SECOND
         send_count = 0
@@ -72,14 +74,14 @@
             await asyncio.sleep(RESEND_DELAY_TIMEOUTS * connect_timeout)
 
     async def _send(self, request_id: str, worker: str, connect_timeout: float, fresh: bool) -> bool:
-        """Send the message once, on a new connection where `fresh`; return whether the worker is notified."""
+        """Send the message once, on a new connection if `fresh`; return whether the worker is notified."""
         message = _Message(worker_messages.cancel_request(request_id))
         timeout = NEW_CONNECTION_TIMEOUTS * connect_timeout if fresh else connect_timeout
         address = self.endpoints.addresses.get(worker)
         if address is None:
             return False
         try:
-            # A worker that is silent must not hold up the next send.
+            # A silent worker must not delay the next send.
             async with asyncio.timeout(timeout):
                 reply = await self.upstream.send(
                     worker, address, message.build, message.note_sent, fresh=fresh
@@ -92,12 +94,13 @@
     def _is_obsolete(request: OpenRequest, attempt: OpenAttempt) -> bool:
         """Return whether nothing depends on the cancellation any more.
 
-        Before the 202 the closed connection has cancelled the attempt; the message is for a 202 on its way.
+        Before the 202, closing the connection has cancelled the attempt already; the message is only for a
+        202 that may be on its way.
         """
         is_accepted = attempt.stage is AttemptStage.ACCEPTED
         return not is_accepted or not request.is_open or attempt.lease_expired
 
     def _log_undelivered(self, worker: str) -> None:
         self.log.emit(
-            f"worker {worker}: no answer to a cancellation", event="cancellation_unanswered", worker=worker
+            f"worker {worker}: no reply to a cancellation", event="cancellation_unanswered", worker=worker
         )
--- a/locktide/dispatcher/cleanup.py
+++ b/locktide/dispatcher/cleanup.py
@@ -1,4 +1,4 @@
-"""Periodic clean-up: idle connections that expired, and ids of requests that are long over."""
+"""Periodic clean-up of expired idle connections and of the remembered ids of answered requests."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.transport.upstream_pool import UpstreamPool
 
-#: Seconds between two clean-ups: connections and ids stay for so much longer at most.
+#: Seconds between two clean-ups: an expired connection or id stays at most this much longer.
 CLEANUP_INTERVAL = 1.0
 
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class PeriodicCleanup:
-    """Drops what has expired, once in each interval."""
+    """Closes expired connections and forgets expired ids, once in each interval."""
 
     upstream: UpstreamPool
     registry: RequestRegistry
--- a/locktide/dispatcher/clock.py
+++ b/locktide/dispatcher/clock.py
@@ -1,4 +1,4 @@
-"""The dispatcher's clock: Unix time in whole microseconds, as the endpoint list's start times are."""
+"""The dispatcher's clock: Unix time in whole microseconds, like the start times in the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Clock:
-    """Set by the system's time once, then carried on by the loop's own clock, which never steps.
+    """Unix time that is read from the system once and then advances with the monotonic clock of the loop.
 
     Attributes:
-        offset: Unix time at the zero of the event loop's clock, in seconds.
+        offset: Unix time at which the event loop's clock was zero, in seconds.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, wall: Callable[[], float]) -> None:
@@ -25,5 +25,5 @@
         return int((self.offset + self.loop.time()) * MICROSECONDS_PER_SECOND)
 
     def to_loop_time(self, moment: int) -> float:
-        """Convert a time of this clock to the event loop's, in seconds, for its timers."""
+        """Convert a time of this clock, in microseconds, to the event loop's, in seconds."""
         return moment / MICROSECONDS_PER_SECOND - self.offset
--- a/locktide/dispatcher/command_executor.py
+++ b/locktide/dispatcher/command_executor.py
@@ -1,4 +1,4 @@
-"""Executes the scheduler's commands: each type of command is passed to the part that carries it out."""
+"""Executes the scheduler's commands: passes each type of command to the component that handles it."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     failures: FailureResponder
 
     def execute(self, command: RequestCommand) -> None:
-        """Execute one command, unless the next process continues its request."""
+        """Execute one command, unless its request is left to the next process."""
         if self._is_left_to_next_process(command):
             return
         match command:
@@ -62,7 +62,10 @@
                 assert_never(command)
 
     def _is_left_to_next_process(self, command: RequestCommand) -> bool:
-        """Return whether, in a shutdown, it is about a background request: its record on disk stays as is."""
+        """Return whether the command is about a background request during a shutdown.
+
+        The next process continues that request from its record on disk, which must stay unchanged.
+        """
         if self.state.shutdown_deadline is None or command.request_id is None:
             return False
         request = self.registry.get(command.request_id)
@@ -91,7 +94,7 @@
             case WatchEndpoints():
                 self.follower.request_watch()
             case FetchEndpoints():
-                pass  # where the list is not polled, the watch is always on
+                pass  # a list that is not polled is watched all the time
             case WriteLog():
                 emit_log_event(self.log, command.event)
             case _:
--- a/locktide/dispatcher/completion.py
+++ b/locktide/dispatcher/completion.py
@@ -1,4 +1,4 @@
-"""The one outcome of each attempt."""
+"""Ends attempts: each gets exactly one outcome."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     leases: AttemptLeases
 
     def finish(self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
-        """End the attempt; the first outcome that is known counts."""
+        """End the attempt with that outcome; do nothing if it has an outcome already."""
         if not attempt.end(outcome):
             return
         self.leases.end(request, attempt)
--- a/locktide/dispatcher/delays.py
+++ b/locktide/dispatcher/delays.py
@@ -1,7 +1,7 @@
-"""Log lines for steps of a request that came late because the process got no processor.
+"""Log lines for steps of a request that were late because the process got no processor time.
 
-A response that is late, or an attempt that tells its worker too much time, looks alike whether the process
-was held up or made a mistake; these lines tell the two apart.
+A late response, or an attempt that gives its worker more time than is left, looks the same whether the
+process was held up or has a bug; these lines distinguish the two.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 from locktide.transport.log import Log
 
-#: Least delay that is logged, in seconds: at a tenth of a core a process is held up for 90 ms at worst.
+#: Shortest delay that is logged, in seconds: with a tenth of a core, a process is held up for up to 90 ms.
 MIN_LOGGED_DELAY = 0.1
 
 
 class DelayedStep(Enum):
-    """A step of a request, as the log names it."""
+    """A step of a request that may be late; the value is its text in the log."""
 
     READING = "it was read"
     WRITING = "its attempt was written"
@@ -23,14 +23,14 @@
 
 
 def log_delay(log: Log, request_id: str, step: DelayedStep, delay: float) -> None:
-    """Log that a step of a request came so many seconds late, where that is long.
+    """Log a step of a request that was late by at least `MIN_LOGGED_DELAY`.
 
     Args:
         log: The log.
-        request_id: The request.
-        step: What came late.
-        delay: Seconds since it could have come: since the last byte of the request came, since the clock was
-            read for the attempt, or since the deadline.
+        request_id: Id of the request.
+        step: The step.
+        delay: Seconds since the step was possible: since the last byte of the request arrived, since the
+            clock was read for the attempt, or since the deadline.
     """
     if delay < MIN_LOGGED_DELAY:
         return
--- a/locktide/dispatcher/dispatcher.py
+++ b/locktide/dispatcher/dispatcher.py
@@ -1,4 +1,4 @@
-"""One dispatcher, assembled from its parts, and the request handler of its listener."""
+"""One dispatcher: assembles its components and handles the messages of its listener."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 from locktide.transport.system import RealSystem
 from locktide.transport.upstream_pool import UpstreamPool
 
-#: Bytes that the process takes with hundreds of connections open and no message stored.
+#: Bytes of memory that the process uses with hundreds of connections open and no message stored.
 BASE_MEMORY = 22 << 20
-#: Messages that are half received or wait may take one part in so many of the rest: their copies, in pieces
-#: and on their way out, take the other part.
-STORED_MEMORY_PART = 2
+#: Messages that are partly received or waiting may use the remaining memory divided by this: the rest is for
+#: their copies, which are made while they are received in pieces and sent on.
+STORED_MEMORY_DIVISOR = 2
 
 
 class Dispatcher:
@@ -59,28 +59,28 @@
         clock: The clock of events and commands.
         settings: The settings in force.
         registry: The open requests.
-        endpoints: The workers by the endpoint list.
-        tasks: The running attempts and cancellations.
-        bridge: Takes events for the scheduler; its observers see each event and command.
-        job_host: What durable jobs use of the dispatcher.
+        endpoints: The workers in the endpoint list.
+        tasks: The running tasks of attempts and cancellations.
+        bridge: Passes events to the scheduler; its observers see each event and command.
+        job_host: The interface of the dispatcher to the service of durable jobs.
     """
 
     def __init__(
         self,
         start: Start,
-        known: DiscoveryUpdate,
+        cached_list: DiscoveryUpdate,
         log: Log,
         system: System | None = None,
         upstream: UpstreamPool | None = None,
     ) -> None:
-        """Assemble a dispatcher that does not serve yet.
+        """Assemble a dispatcher without serving yet.
 
         Args:
             start: The settings.
-            known: The cached endpoint list.
+            cached_list: The cached endpoint list.
             log: The log.
-            system: The machine; the operating system by default.
-            upstream: The connections to workers; a pool of its own by default.
+            system: Clock and sockets of the machine; those of the operating system by default.
+            upstream: The pool of connections to workers; a new pool by default.
         """
         system = system or RealSystem()
         start = with_socket_settings(start)
@@ -94,10 +94,10 @@
         self._apply_settings(start)
         self._assemble_attempt_endings()
         self._assemble_requests()
-        self._assemble_endpoint_list(known)
+        self._assemble_endpoint_list(cached_list)
         self._assemble_commands()
         self._assemble_process(start.listen)
-        self.endpoint_list.apply_cached(known)
+        self.endpoint_list.apply_cached(cached_list)
 
     def _open_transport(self, start: Start, system: System, upstream: UpstreamPool | None) -> None:
         """Create the listener and the pool of connections to workers."""
@@ -109,14 +109,14 @@
             descriptors=client_descriptors,
             timeouts={},
             keyed_classes=set(),
-            max_stored_bytes=(start.memory - BASE_MEMORY) // STORED_MEMORY_PART,
+            max_stored_bytes=(start.memory - BASE_MEMORY) // STORED_MEMORY_DIVISOR,
             request_handler=self,
             log=self.log,
             system=system,
         )
 
     def _apply_settings(self, start: Start) -> None:
-        """Put the settings of the start in force."""
+        """Put the initial settings in force."""
         self.settings = DispatcherSettings(
             discovery=start.discovery,
             endpoint_list=start.scheduler_config.endpoint_list,
@@ -126,7 +126,7 @@
         self.updater.apply(start)
 
     def _assemble_attempt_endings(self) -> None:
-        """Create what keeps the requests and ends their attempts."""
+        """Create the components that store the requests and end their attempts."""
         self.endpoints = EndpointDirectory()
         self.tasks = BackgroundTasks()
         self.leases = AttemptLeases()
@@ -143,7 +143,7 @@
         )
 
     def _assemble_requests(self) -> None:
-        """Create what accepts requests, callbacks and the jobs of an earlier process."""
+        """Create the components that accept requests, callbacks and the jobs of an earlier process."""
         self.callbacks = CallbackHandler(
             registry=self.registry,
             bridge=self.bridge,
@@ -173,8 +173,8 @@
             endpoints=self.endpoints,
         )
 
-    def _assemble_endpoint_list(self, known: DiscoveryUpdate) -> None:
-        """Create what follows and applies the endpoint list."""
+    def _assemble_endpoint_list(self, cached_list: DiscoveryUpdate) -> None:
+        """Create the components that follow and apply the endpoint list."""
         self.endpoint_list = EndpointListHandler(
             endpoints=self.endpoints,
             upstream=self.upstream,
@@ -186,11 +186,11 @@
             endpoint_list=self.endpoint_list,
             bridge=self.bridge,
             log=self.log,
-            cached_version=known.version if known.entries else None,
+            cached_version=cached_list.version if cached_list.entries else None,
         )
 
     def _assemble_commands(self) -> None:
-        """Create what executes the scheduler's commands, and connect it."""
+        """Create the components that execute the scheduler's commands, and connect them to the bridge."""
         self.failures = FailureResponder(
             registry=self.registry, cancellations=self.cancellations, log=self.log
         )
@@ -226,7 +226,7 @@
         self.bridge.connect(executor.execute)
 
     def _assemble_process(self, listen_address: Address) -> None:
-        """Create what starts, reloads and shuts down."""
+        """Create the components for start, reload and shutdown."""
         self.reloader = ConfigReloader(
             updater=self.updater,
             bridge=self.bridge,
@@ -259,7 +259,7 @@
             log=self.log,
         )
 
-    # --- the process
+    # --- running the process
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serve until `stop`, finish the requests that were accepted, and return."""
@@ -270,23 +270,23 @@
         self.reloader.reload(start)
 
     def attach_job_store(self, job_store: JobStore, request_handler: RequestHandler) -> None:
-        """Keep durable jobs in `job_store` from now on, and pass messages to `request_handler` first."""
+        """Store durable jobs in `job_store` and pass messages to `request_handler` from now on."""
         self.leases.job_store = job_store
         self.listener.request_handler = request_handler
         self.listener.keeps_jobs = True
 
-    # --- the listener's request handler
+    # --- the interface `RequestHandler`, which the listener calls
 
     def is_ready(self) -> bool:
-        """Return whether the process serves."""
+        """Return whether the process accepts requests."""
         return self.state.is_serving
 
     def submit(self, message: SubmitRequest) -> asyncio.Future[Response] | None:
-        """Accept a request; return its response to come, or None where its id is known already."""
+        """Accept a request; return the future of its response, or None if its id is known already."""
         return self.requests.submit(message)
 
     def client_disconnected(self, message: SubmitRequest) -> None:
-        """Drop the response of a request whose client has gone."""
+        """Cancel the response to a request whose client has disconnected."""
         self.requests.client_disconnected(message)
 
     def handle_callback(self, message: Callback) -> None:
@@ -294,5 +294,5 @@
         self.callbacks.handle_callback(message)
 
     def query_job(self, message: JobQuery) -> Response:  # noqa: ARG002 - without a job store there are no jobs
-        """Respond that there is no such job."""
+        """Respond that the job does not exist."""
         return Response(HTTPStatus.NOT_FOUND, b"no such job\n")
--- a/locktide/dispatcher/endpoint_directory.py
+++ b/locktide/dispatcher/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The workers by the endpoint list that this dispatcher had last."""
+"""The workers in the latest endpoint list that this dispatcher has received."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """The state and the address of each worker, as the scheduler knows them.
 
     Attributes:
-        entries: The entry of each worker; one that has left the list stays, as gone.
+        entries: The entry of each worker; a worker that has left the list stays, in state gone.
         addresses: The address of each worker.
     """
 
@@ -24,19 +24,19 @@
         self.addresses: dict[str, Address] = {}
 
     def apply(self, update: DiscoveryUpdate) -> Iterable[str]:
-        """Apply an update of the list; return the workers that have moved, restarted or gone.
+        """Apply an update of the list; return the workers that have moved, have restarted or are gone.
 
-        Adds to `update` what was known of entries that it names but that could not be read.
+        Adds to `update` the known entries of those workers whose new entry could not be read.
         """
         self._keep_unreadable(update)
-        stale = self._remove_absent(update) if update.is_snapshot else []
+        replaced = self._remove_absent(update) if update.is_snapshot else []
         for entry in update.entries:
             address = update.addresses[entry.worker]
             if self._is_replaced(entry, address):
-                stale.append(entry.worker)
+                replaced.append(entry.worker)
             self.entries[entry.worker] = entry
             self.addresses[entry.worker] = address
-        return stale
+        return replaced
 
     def accepts_requests(self, worker: str) -> bool:
         """Return whether attempts may be sent to the worker."""
@@ -44,10 +44,10 @@
         return entry is not None and entry.state == EndpointState.READY
 
     def _keep_unreadable(self, update: DiscoveryUpdate) -> None:
-        """Treat a known worker as draining where its entry cannot be read.
+        """Treat a known worker as draining if its new entry cannot be read.
 
-        The entry may say that the worker is draining: kept as ready, the worker would get new requests in its
-        drain. The rest of the list counts as usual.
+        The unreadable entry may say that the worker is draining: if the worker stayed ready, it would get new
+        requests while it drains. The other entries of the list are applied as usual.
         """
         for worker in update.unreadable:
             known = self.entries.get(worker)
@@ -65,9 +65,9 @@
         return absent
 
     def _is_replaced(self, entry: EndpointEntry, address: Address) -> bool:
-        """Return whether a known worker has moved, restarted or gone."""
+        """Return whether a known worker has moved to a new address, has restarted or is gone."""
         known = self.entries.get(entry.worker)
         if known is None:
             return False
-        moved = self.addresses.get(entry.worker) != address
-        return moved or known.started_at != entry.started_at or entry.state == EndpointState.GONE
+        has_moved = self.addresses.get(entry.worker) != address
+        return has_moved or known.started_at != entry.started_at or entry.state == EndpointState.GONE
--- a/locktide/dispatcher/endpoint_follower.py
+++ b/locktide/dispatcher/endpoint_follower.py
@@ -1,4 +1,4 @@
-"""Following the endpoint list at discovery, all the time or when the scheduler requests it."""
+"""Follows the endpoint list at discovery, continuously or when the scheduler requests it."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 from locktide.transport.log import Log
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
-#: Seconds that a start waits for the list: an agent on the same machine responds within milliseconds.
+#: Seconds that a start waits for the first list: an agent on the same machine responds within milliseconds.
 FIRST_LIST_TIMEOUT = 0.5
-#: A polled call may wait for its turn for this part of the time within which a change has to be known. Given
-#: up sooner, it was work for nothing; one without a response by then was not received.
-POLL_WAIT_PART = 0.5
+#: A polled call may wait for its turn at the agent for this fraction of the time within which a change has to
+#: be known. A call that is given up sooner has caused work for nothing; one that has no response by then was
+#: not received.
+POLL_WAIT_FRACTION = 0.5
 
 
 @dataclass(eq=False, slots=True, kw_only=True)
@@ -30,10 +31,10 @@
     """Owns the watch of the endpoint list.
 
     Attributes:
-        cached_version: Version of the cached list; None where there is none.
-        watch_task: Runs the watch in force.
-        watch_requested: Set while the scheduler wants the list watched and no call is under way for that.
-        is_stopped: Whether the list is not followed any more.
+        cached_version: Version of the cached list; None without a cached list.
+        watch_task: Runs the current watch.
+        watch_requested: Set once the scheduler has requested a call; cleared when a call fails.
+        is_stopped: Whether `stop` was called.
     """
 
     settings: DispatcherSettings
@@ -46,18 +47,21 @@
     is_stopped: bool = False
 
     def start(self) -> None:
-        """Follow the list from now on; where calls cost others work, once the scheduler requests it."""
+        """Follow the list from now on; a list that is polled, only once the scheduler requests it."""
         self.watch(self.follow_when_requested() if self.settings.endpoint_list.polled else self.follow())
 
     def restart(self) -> None:
-        """Follow the list at the address in force, from the whole list on: each has its own versions."""
+        """Follow the list at the address in force, starting with the whole list.
+
+        Versions of the list are not comparable between agents.
+        """
         self.watch(self.follow())
 
     def stop(self) -> None:
-        """Cancel the watch for good: a reload in the last moments of a shutdown begins none.
+        """Cancel the watch for good, so that a reload late in a shutdown starts no new watch.
 
-        `close` awaited such a watch, which has no end, and the process stayed until it was killed
-        (test_reload_between_the_stop_and_the_close_of_a_follower_begins_no_watch).
+        A watch does not end by itself: `close` would await it forever, and the process would stay until it is
+        killed (test_reload_between_the_stop_and_the_close_of_a_follower_begins_no_watch).
         """
         self.is_stopped = True
         self._cancel_watch()
@@ -67,13 +71,13 @@
             self.watch_task.cancel()
 
     async def close(self) -> None:
-        """Await the end of the watch, after `stop`."""
+        """Wait until the watch has ended; called after `stop`."""
         if self.watch_task is not None and not self.watch_task.done():
             with suppress(asyncio.CancelledError):
                 await self.watch_task
 
     def watch(self, following: Coroutine[Any, Any, None]) -> None:
-        """Run `following` in place of the watch so far, unless the list is not followed any more."""
+        """Replace the current watch by `following`, unless the follower is stopped."""
         if self.is_stopped:
             following.close()
             return
@@ -81,14 +85,14 @@
         self.watch_task = asyncio.create_task(following)
 
     def request_watch(self) -> None:
-        """Let a watch that waits for the scheduler's command make its next call."""
+        """Let a watch that waits for the scheduler's request make its next call."""
         self.watch_requested.set()
 
     async def wait_for_first_list(self) -> None:
-        """Wait for the first list, for a limited time; where the list is polled, do not wait.
+        """Wait for the first list, for a limited time; do not wait if the list is polled.
 
-        What the agent has counts as notified from the first moment of the process on. A silent agent does not
-        hold up the start for long: the cached list is all there is then.
+        What the agent has counts as notified from the first moment of the process. A silent agent does not
+        delay the start for long: only the cached list is available then.
         """
         if self.settings.endpoint_list.polled:
             return
@@ -96,17 +100,17 @@
             await asyncio.wait_for(self.endpoint_list.received.wait(), FIRST_LIST_TIMEOUT)
 
     async def follow(self, version: int | None = None) -> None:
-        """Follow the list at the address in force, from that version on, or from the whole list."""
+        """Follow the list at the address in force; begin after `version`, or with the whole list if None."""
         config = self.settings.endpoint_list
         await (self._polling_watch(config, version) if config.polled else self._watch(version)).run()
 
     async def follow_when_requested(self) -> None:
-        """Follow the list once the scheduler requests it, from the cached version on."""
+        """Follow the list once the scheduler requests it; begin after the cached version."""
         await self.watch_requested.wait()
         await self.follow(self.cached_version)
 
     async def retry_when_requested(self, timed_out: bool) -> None:
-        """Report a call that failed, and wait until the scheduler requests the next."""
+        """Report a failed call to the scheduler, and wait until it requests the next call."""
         self.watch_requested.clear()
         kind = ListUpdateKind.FETCH_TIMED_OUT if timed_out else ListUpdateKind.FETCH_FAILED
         self.bridge.enqueue_event(EndpointListUpdate(kind, []))
@@ -116,12 +120,12 @@
         return EndpointWatch(self.settings.discovery, self.endpoint_list.apply, self.log, version)
 
     def _polling_watch(self, config: EndpointListConfig, version: int | None) -> EndpointWatch:
-        known_within = min(config.poll_within, config.notified_within or config.poll_within)
+        notification_limit = min(config.poll_within, config.notified_within or config.poll_within)
         return EndpointWatch(
             self.settings.discovery,
             self.endpoint_list.apply,
             self.log,
             version,
-            first_response_timeout=POLL_WAIT_PART * known_within / MICROSECONDS_PER_SECOND,
+            first_response_timeout=POLL_WAIT_FRACTION * notification_limit / MICROSECONDS_PER_SECOND,
             wait_for_retry=self.retry_when_requested,
         )
--- a/locktide/dispatcher/endpoint_list.py
+++ b/locktide/dispatcher/endpoint_list.py
@@ -1,4 +1,4 @@
-"""What an update of the endpoint list means for connections, attempts and the scheduler."""
+"""Applies updates of the endpoint list to connections, attempts and the scheduler."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """Applies updates of the endpoint list.
 
     Attributes:
-        received: Set once an update has come from discovery; the cached list does not count.
+        received: Set once an update has arrived from discovery; the cached list does not count.
     """
 
     endpoints: EndpointDirectory
@@ -29,7 +29,7 @@
     received: asyncio.Event = field(default_factory=asyncio.Event)
 
     def apply_cached(self, update: DiscoveryUpdate) -> None:
-        """Apply the list that was remembered from an earlier process, before anything else."""
+        """Apply the cached list of an earlier process, before any other update."""
         self.endpoints.apply(update)
         self.bridge.enqueue_event(EndpointListUpdate(ListUpdateKind.CACHED, update.entries))
 
--- a/locktide/dispatcher/failure_responses.py
+++ b/locktide/dispatcher/failure_responses.py
@@ -1,4 +1,4 @@
-"""Responses to requests that the scheduler rejects or fails, or on which it failed itself."""
+"""Responses to requests that the scheduler rejects or fails, or that caused an internal error in it."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class FailureResponder:
-    """Responds to requests that end without a result."""
+    """Sends the responses to requests that end without a result."""
 
     registry: RequestRegistry
     cancellations: CancellationService
     log: Log
 
     def reject(self, command: RejectRequest) -> None:
-        """Respond that the request was not accepted, and when to come back."""
+        """Respond that the request was rejected, and after which time the client may retry."""
         headers = []
         if command.retry_after:
             headers.append((names.RETRY_AFTER, f"{command.retry_after / MICROSECONDS_PER_SECOND:.3f}"))
@@ -32,7 +32,7 @@
         )
 
     def fail(self, command: FailRequest) -> None:
-        """Respond that the request has failed: it may have run, so that its client must not send it again."""
+        """Respond that the request has failed: it may have run, so its client must not send it again."""
         request = command.request_id
         self.log.emit(
             f"request {request}: failed, no further attempt is allowed",
@@ -43,7 +43,7 @@
         self.registry.respond(command.request_id, Response(HTTPStatus.BAD_GATEWAY, b"terminated\n"))
 
     def fail_after_internal_error(self, command: ReportInternalError) -> None:
-        """Respond at once to the request on which the scheduler failed, and cancel its attempts."""
+        """Respond at once to the request that caused an error in the scheduler, and cancel its attempts."""
         error = command.detail
         self.log.emit(f"the scheduler failed: {error}", event="scheduler_failed", error=error)
         request = None if command.request_id is None else self.registry.get(command.request_id)
--- a/locktide/dispatcher/job_host.py
+++ b/locktide/dispatcher/job_host.py
@@ -1,4 +1,4 @@
-"""What durable jobs use of their dispatcher."""
+"""The interface of a dispatcher to the service of durable jobs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         return self.clock.now()
 
     def is_id_in_use(self, request_id: str) -> bool:
-        """Return whether a request of that id is open or was answered lately."""
+        """Return whether a request with that id is open or was answered recently."""
         return self.registry.is_known(request_id)
 
     def recover(self, job: RecoveredJob) -> asyncio.Future[Response]:
@@ -41,5 +41,5 @@
         self.cancellations.expire_lease(request_id, fence)
 
     def endpoint(self, worker: str) -> EndpointEntry:
-        """Return the entry of a worker that is listed."""
+        """Return the entry of a listed worker."""
         return self.endpoints.entries[worker]
--- a/locktide/dispatcher/job_store.py
+++ b/locktide/dispatcher/job_store.py
@@ -1,4 +1,4 @@
-"""What a dispatcher needs of the store of durable jobs; without a store no job is durable."""
+"""The store of durable jobs, as the dispatcher uses it; without a store no job is durable."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class JobStore(Protocol):
-    """Keeps durable jobs and grants the leases of their attempts; see `Dispatcher.attach_job_store`."""
+    """Stores durable jobs and grants the leases of their attempts; see `Dispatcher.attach_job_store`."""
 
     def is_durable(self, request: OpenRequest, /) -> bool:
         """Return whether the request is a durable job."""
@@ -21,17 +21,17 @@
 
 
 class AttemptLeases:
-    """The leases of attempts for durable jobs; any other attempt needs none.
+    """Manages the leases of attempts of durable jobs; other attempts need no lease.
 
     Attributes:
-        job_store: Grants the leases; None where no job is durable.
+        job_store: Grants the leases; None if there are no durable jobs.
     """
 
     def __init__(self) -> None:
         self.job_store: JobStore | None = None
 
     async def grant(self, request: OpenRequest, attempt: OpenAttempt) -> bool:
-        """Return whether the attempt may be sent: where its job is durable, its lease is on disk by then."""
+        """Return whether the attempt may be sent; the lease of a durable job is on disk by then."""
         if self.job_store is None or not self.job_store.is_durable(request):
             return True
         return await self.job_store.grant_lease(request, attempt)
--- a/locktide/dispatcher/lifecycle.py
+++ b/locktide/dispatcher/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a dispatcher: start, periodic clean-up, graceful shutdown."""
+"""The lifecycle of a dispatcher: start, periodic clean-up, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class Lifecycle:
-    """Serves from the first endpoint list to the last response of a shutdown."""
+    """Runs a dispatcher from the first endpoint list to the last response of its shutdown."""
 
     startup: Startup
     cleanup: PeriodicCleanup
@@ -29,7 +29,7 @@
         """Serve until `stop`, finish the requests that were accepted, and return."""
         self.follower.start()
         cleaning_up = asyncio.create_task(self.cleanup.run())
-        await asyncio.sleep(0)  # the scheduler has the cached list before the first request
+        await asyncio.sleep(0)  # lets the scheduler apply the cached list before the first request
         await self.startup.run()
         await stop.wait()
         await self.shutdown.run()
--- a/locktide/dispatcher/records.py
+++ b/locktide/dispatcher/records.py
@@ -11,31 +11,32 @@
 
 
 class AttemptStage(IntEnum):
-    """How far an attempt has come; `docs/design/endings.md` says what is owed at each stage."""
+    """The progress of an attempt; `docs/design/endings.md` lists the duties at each stage."""
 
-    PENDING = 0  # no byte is out: it may wait for a connection
-    SENDING = 1  # some of its bytes are out
-    SENT = 2  # its last byte is with the kernel: it may run
-    ACCEPTED = 3  # its worker has it: the worker has replied 202, or called back
-    ENDED = 4  # it has its outcome
+    PENDING = 0  # no byte is sent: the attempt may wait for a connection
+    SENDING = 1  # some bytes are sent
+    SENT = 2  # the kernel has taken the last byte: the job may run
+    ACCEPTED = 3  # the worker has replied 202 or sent a callback
+    ENDED = 4  # the attempt has its outcome
 
 
 class OpenAttempt:
-    """One attempt, until its outcome is reported to the scheduler.
+    """An attempt of a request, until its outcome is reported to the scheduler.
 
     Attributes:
         number: Its place among the attempts of its request, from 0.
         worker: Name of the worker.
-        task: Sends it to its worker.
-        stage: How far it has come; changed by `reach` alone.
-        send_before: From when on no byte of it may be sent, in microseconds; 0 where the deadline counts.
+        task: Sends the job to the worker.
+        stage: Its progress; changed only by `reach`.
+        send_before: The time from which its first byte must not be sent any more, in microseconds; 0 if only
+            the deadline limits it.
         is_cancelling: Whether its cancellation has begun.
-        was_accepted: Whether its worker has reported by 202 or by callback that it has the job.
-        outcome: How it ended, once it has.
+        was_accepted: Whether the worker has reported, by 202 or callback, that it has the job.
+        outcome: How the attempt ended; None before.
         built_at: When the clock was last read before its first byte, in microseconds.
         sent_at: When its last byte was written, in microseconds.
-        fence: Fencing number of its lease, where the request is a durable job; else 0.
-        lease_expired: Whether its worker has no claim on the job any more.
+        fence: Fencing number of its lease if the request is a durable job, else 0.
+        lease_expired: Whether its lease has expired, so that its worker has no claim on the job any more.
     """
 
     __slots__ = (
@@ -69,15 +70,15 @@
         self.lease_expired = False
 
     def reach(self, stage: AttemptStage) -> None:
-        """Advance the stage, in this one place.
+        """Advance the stage; the only method that changes it.
 
-        A stage never goes back: what comes late, such as a 202 after a callback, changes nothing.
+        A stage never goes back: a late message, such as a 202 after a callback, changes nothing.
         """
         self.was_accepted = self.was_accepted or stage is AttemptStage.ACCEPTED
         self.stage = max(self.stage, stage)
 
     def end(self, outcome: AttemptOutcome) -> bool:
-        """Set the outcome; return False where it has one already, as the first that is known counts."""
+        """Set the outcome; return False if there is one already, as the first outcome counts."""
         if self.stage is AttemptStage.ENDED:
             return False
         self.outcome = outcome
@@ -85,18 +86,18 @@
         return True
 
     @property
-    def possibly_running(self) -> bool:
-        """Whether its last byte was written and its outcome is not known."""
+    def is_possibly_running(self) -> bool:
+        """Whether its last byte was written and its outcome is not known yet."""
         return AttemptStage.SENT <= self.stage < AttemptStage.ENDED
 
 
 class OpenRequest:
-    """One request, from its last byte until it has its response and each of its attempts its outcome.
+    """A request, from its last byte until it has its response and each of its attempts has an outcome.
 
     Attributes:
-        message: What the client sent.
-        deadline: By when it has to have its response, in microseconds.
-        response: The response to come; cancelled once the client has gone.
+        message: The request message of the client.
+        deadline: When its response is due, in microseconds.
+        response: The future of its response; cancelled once the client has disconnected.
         attempts: Its attempts, in order of their numbers.
         timer: Fires at the deadline.
     """
@@ -113,29 +114,29 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether its client still waits for the response."""
+        """Whether the client still waits for the response."""
         return not self.response.done()
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing is owed any more: it has its response, each attempt its outcome."""
+        """Whether the request has its response and each attempt its outcome."""
         return not self.is_open and not self.unfinished_attempts()
 
     def unfinished_attempts(self) -> list[OpenAttempt]:
         """Return the attempts that have no outcome yet, in order of their numbers."""
         return [attempt for attempt in self.attempts if attempt.stage is not AttemptStage.ENDED]
 
-    def accepted_there_before(self, later: OpenAttempt) -> bool:
-        """Return whether the worker of `later` had accepted an earlier attempt.
+    def worker_accepted_earlier_attempt(self, later: OpenAttempt) -> bool:
+        """Return whether the worker of the attempt `later` had accepted an earlier attempt of this request.
 
-        A callback from there may be about either of them.
+        A callback from that worker may be about either attempt.
         """
         earlier = self.attempts[: later.number]
         return any(attempt.was_accepted and attempt.worker == later.worker for attempt in earlier)
 
     def attempt_running_at(self, worker: str) -> OpenAttempt | None:
-        """Return the attempt that a callback from this worker is about: one that the worker can have."""
+        """Return the possibly running attempt at that worker, which a callback from there is about."""
         for attempt in self.unfinished_attempts():
-            if attempt.worker == worker and attempt.possibly_running:
+            if attempt.worker == worker and attempt.is_possibly_running:
                 return attempt
         return None
--- a/locktide/dispatcher/reload.py
+++ b/locktide/dispatcher/reload.py
@@ -1,4 +1,4 @@
-"""Putting new settings in force while the process serves."""
+"""Applies new settings while the process serves."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class ConfigReloader:
-    """Passes new settings to the parts that go by them, and to the scheduler."""
+    """Passes new settings to the components that use them, and to the scheduler."""
 
     updater: SettingsUpdater
     bridge: SchedulerBridge
@@ -25,10 +25,10 @@
     log: Log
 
     def reload(self, start: Start) -> None:
-        """Put new settings and the address of discovery in force.
+        """Put new settings in force, among them the address of discovery.
 
-        Open requests keep their deadlines and their service class, and connections and jobs continue. A
-        reload of the earlier settings takes all of it back.
+        Open requests keep their deadlines and service classes, and connections and jobs continue. A reload
+        with the earlier settings restores them completely.
         """
         start = with_socket_settings(start)
         self.updater.apply(start)
@@ -42,7 +42,7 @@
         open_count = self.registry.open_count()
         self.log.emit(
             f"reload: settings taken, {open_count} requests open; service classes {service_classes}; "
-            f"worker list from {discovery}",
+            f"endpoint list from {discovery}",
             event="config_reloaded",
             discovery=discovery,
             open=open_count,
--- a/locktide/dispatcher/request_timeouts.py
+++ b/locktide/dispatcher/request_timeouts.py
@@ -1,4 +1,4 @@
-"""The deadlines of requests: at each one every attempt ends, and a response is sent in any case."""
+"""Enforces the deadlines of requests: ends the attempts and makes sure that a response is sent."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from locktide.transport.interfaces import Response
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
-#: Microseconds past the deadline in which the scheduler may give its response, before one is sent without it.
+#: Microseconds past the deadline in which the scheduler may still respond; after that this module responds.
 RESPONSE_GRACE = 10_000
 
 
@@ -32,12 +32,12 @@
     runtime: Runtime
 
     def start(self, request: OpenRequest) -> None:
-        """Set the timer of a request's deadline."""
+        """Start the timer for the deadline of a request."""
         fires_at = self.runtime.clock.to_loop_time(request.deadline)
         request.timer = self.runtime.loop.call_at(fires_at, self.time_out, request)
 
     def time_out(self, request: OpenRequest) -> None:
-        """End every attempt at the deadline: neither the client nor the scheduler waits for it any more."""
+        """End every attempt at the deadline, as neither the client nor the scheduler waits any longer."""
         delay = self.runtime.loop.time() - self.runtime.clock.to_loop_time(request.deadline)
         log_delay(self.runtime.log, request.message.id, DelayedStep.TIMING_OUT, delay)
         for attempt in request.unfinished_attempts():
@@ -48,7 +48,7 @@
         request.timer = self.runtime.loop.call_later(grace, self.fail_overdue, request)
 
     def fail_overdue(self, request: OpenRequest) -> None:
-        """Respond in place of the scheduler, which has not done so in time."""
+        """Respond instead of the scheduler if it has not responded in time."""
         if not request.is_open:
             return
         request_id = request.message.id
@@ -57,5 +57,5 @@
             event="response_overdue",
             request=request_id,
         )
-        self.bridge.enqueue_event(ClientDisconnected(request_id))  # so that nothing more is sent for it
+        self.bridge.enqueue_event(ClientDisconnected(request_id))  # so that it starts no further attempt
         self.registry.respond(request_id, Response(HTTPStatus.GATEWAY_TIMEOUT, b"terminated\n"))
--- a/locktide/dispatcher/requests.py
+++ b/locktide/dispatcher/requests.py
@@ -1,4 +1,4 @@
-"""Requests: each from its last byte to the scheduler."""
+"""Accepts requests: sets their deadlines and passes them to the scheduler."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from locktide.transport.interfaces import Response
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
-#: Microseconds of the client's time that are left when its request times out here: for the request's way, the
-#: response's way, and a late turn of the loop. With a tenth of a core, which is given out every 100 ms, the
-#: process is held up for 90 ms at worst.
+#: Microseconds by which the deadline here precedes the client's: for the transit of the request and of the
+#: response, and for a late turn of the event loop. With a tenth of a core, which is allotted every 100 ms,
+#: the process is held up for 90 ms at worst.
 TRANSIT_MARGIN = 80_000
-#: The margin is at most one part in so many of the timeout: of a short timeout more must be left to use.
-TRANSIT_PART = 20
+#: The margin is at most the timeout divided by this, so that most of a short timeout stays usable.
+TRANSIT_MARGIN_DIVISOR = 20
 
 
 def arrival_event(message: SubmitRequest, deadline: int) -> RequestArrived:
-    """Return the event by which the scheduler learns of a request; `deadline` in microseconds."""
+    """Return the event that notifies the scheduler of a request; `deadline` in microseconds."""
     return RequestArrived(
         request_id=message.id,
         service_class=message.service_class,
@@ -46,10 +46,10 @@
     """A durable job of an earlier process.
 
     Attributes:
-        message: The request as it was accepted.
-        arrived_at: When it arrived, in microseconds.
-        deadline: By when it has to have its response, in microseconds.
-        attempts: The attempts so far.
+        message: The request message as it was accepted.
+        arrived_at: When the request arrived, in microseconds.
+        deadline: When its response is due, in microseconds.
+        attempts: Its attempts in the earlier process.
         fences: The fencing number of each attempt.
     """
 
@@ -62,7 +62,7 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class RequestService:
-    """Accepts requests, and forgets those whose clients have gone."""
+    """Accepts new and recovered requests, and cancels those whose clients have disconnected."""
 
     registry: RequestRegistry
     bridge: SchedulerBridge
@@ -72,7 +72,7 @@
     state: ServingState
 
     def submit(self, message: SubmitRequest) -> asyncio.Future[Response] | None:
-        """Accept a request; return its response to come, or None where its id is known already."""
+        """Accept a request; return the future of its response, or None if its id is known already."""
         if self.registry.is_known(message.id):
             return None
         if message.received_at is not None:
@@ -84,7 +84,7 @@
         return request.response
 
     def recover(self, job: RecoveredJob) -> asyncio.Future[Response]:
-        """Recover a job of an earlier process; its unfinished attempts may still call back."""
+        """Recover a job of an earlier process; callbacks may still arrive for its unfinished attempts."""
         request = self._open(job.message, job.deadline)
         for recovered, fence in zip(job.attempts, job.fences, strict=True):
             request.attempts.append(self._recovered_attempt(len(request.attempts), recovered, fence))
@@ -93,7 +93,7 @@
         return request.response
 
     def client_disconnected(self, message: SubmitRequest) -> None:
-        """Drop the response of a request whose client has gone."""
+        """Cancel the response to a request whose client has disconnected."""
         request = self.registry.get(message.id)
         if request is not None and request.is_open:
             request.response.cancel()
@@ -101,14 +101,14 @@
             self.registry.release_settled(request)
 
     def _deadline(self, message: SubmitRequest) -> int:
-        """Return by when a request that arrives now has to have its response, in microseconds."""
+        """Return the deadline of a request that arrives now, in microseconds."""
         now = self.runtime.clock.now()
         timeout = message.time_left(self.runtime.loop.time())
         shutdown_deadline = self.state.shutdown_deadline
-        if shutdown_deadline is not None and not message.background:  # the next process continues those
+        if shutdown_deadline is not None and not message.background:  # the next process continues these
             seconds_left = shutdown_deadline - self.runtime.loop.time()
             timeout = min(timeout, int(seconds_left * MICROSECONDS_PER_SECOND))
-        return now + timeout - min(TRANSIT_MARGIN, timeout // TRANSIT_PART)
+        return now + timeout - min(TRANSIT_MARGIN, timeout // TRANSIT_MARGIN_DIVISOR)
 
     def _open(self, message: SubmitRequest, deadline: int) -> OpenRequest:
         request = OpenRequest(message, deadline, self.runtime.loop.create_future())
@@ -123,5 +123,5 @@
             attempt.end(AttemptOutcome(recovered.outcome))
         attempt.sent_at = recovered.sent_at
         attempt.fence = fence
-        attempt.task = self.tasks.start(asyncio.sleep(0))  # the connection that carried it is gone
+        attempt.task = self.tasks.start(asyncio.sleep(0))  # a finished task: the connection no longer exists
         return attempt
--- a/locktide/dispatcher/runtime.py
+++ b/locktide/dispatcher/runtime.py
@@ -1,4 +1,4 @@
-"""What every part of a dispatcher works with: the event loop, the clock and the log."""
+"""What the components of a dispatcher share: the event loop, the clock, the log and the serving state."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 @dataclass(slots=True)
 class ServingState:
-    """Where the process is between its start and its exit.
+    """Whether the process serves, and whether a shutdown limits new requests.
 
     Attributes:
         is_serving: Whether the listening socket is open.
-        shutdown_deadline: By when new requests have to have their response, in seconds of the event loop; set
-            once a shutdown limits them.
+        shutdown_deadline: Latest deadline of new requests, in seconds of the event loop; None until a
+            shutdown limits them.
     """
 
     is_serving: bool = False
--- a/locktide/dispatcher/scheduler_bridge.py
+++ b/locktide/dispatcher/scheduler_bridge.py
@@ -1,4 +1,4 @@
-"""Between the process and its scheduler: events are collected and handed over, commands are executed."""
+"""Connects the process and its scheduler: passes events to the scheduler and executes its commands."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 #: Executes one command.
 CommandHandler: TypeAlias = Callable[[Command], None]
-#: Sees each event as it is enqueued and each command before it is executed.
+#: Called with each event when it is enqueued, and with each command before it is executed.
 Observer: TypeAlias = Callable[[object], None]
 
-#: Lines of the end of a traceback that go into one log line.
+#: Number of last lines of a traceback that are joined to one log line.
 TRACEBACK_LINES = 3
 
 
 def describe_current_error() -> str:
-    """Return the last lines of the traceback that is being handled, on one line."""
+    """Return the last lines of the traceback of the current exception, on one line."""
     return " | ".join(traceback.format_exc().splitlines()[-TRACEBACK_LINES:])
 
 
@@ -31,7 +31,7 @@
     """Passes events to the scheduler and its commands to their executor; observers see both.
 
     Attributes:
-        observers: Called with each event and command, in the order in which they were added.
+        observers: Called with each event and command, in the order in which the observers were added.
     """
 
     def __init__(self, scheduler: Scheduler, runtime: Runtime) -> None:
@@ -48,11 +48,11 @@
         return self._runtime.clock
 
     def connect(self, execute: CommandHandler) -> None:
-        """Set who executes the commands, before the first event."""
+        """Set the function that executes the commands; called before the first event."""
         self._execute = execute
 
     def enqueue_event(self, event: Event) -> None:
-        """Queue an event for the scheduler; the events of one loop turn are handed over in one step."""
+        """Queue an event for the scheduler; the events of one loop turn are passed to it in one step."""
         self._pending_events.append(event)
         self._notify_observers(event)
         if not self._step_scheduled:
@@ -60,13 +60,13 @@
             self._runtime.loop.call_soon(self.step_scheduler)
 
     def step_scheduler(self) -> None:
-        """Hand the queued events to the scheduler and execute its commands."""
+        """Pass the queued events to the scheduler and execute its commands."""
         self._step_scheduled = False
         events = self._pending_events
         self._pending_events = []
         try:
             commands = self._scheduler.step(self._runtime.clock.now(), events)
-        except Exception:  # protects the process: requests end by their deadlines all the same
+        except Exception:  # protects the process: open requests still end at their deadlines
             error = describe_current_error()
             self._runtime.log.emit(f"the scheduler failed: {error}", event="scheduler_failed", error=error)
             return
@@ -80,13 +80,13 @@
                 )
 
     def execute(self, command: Command) -> None:
-        """Show the command to the observers and execute it."""
-        assert self._execute is not None, "connect comes first"
+        """Notify the observers of the command and execute it."""
+        assert self._execute is not None, "connect must be called first"
         self._notify_observers(command)
         self._execute(command)
 
     def start_timer(self, command: SetTimer) -> None:
-        """Send the scheduler a timer event after the delay."""
+        """Enqueue a timer event after the delay of the command."""
         delay = command.delay / MICROSECONDS_PER_SECOND
         self._runtime.loop.call_later(delay, self.enqueue_event, TimerFired(command.timer_id))
 
@@ -94,6 +94,6 @@
         for observer in self.observers:
             try:
                 observer(message)
-            except Exception as fault:  # protects the event or command: it is processed all the same
+            except Exception as fault:  # protects the event or command, which is still processed
                 error = f"{type(fault).__name__}: {fault}"
                 self._runtime.log.emit(f"an observer failed: {error}", event="observer_failed", error=error)
--- a/locktide/dispatcher/service.py
+++ b/locktide/dispatcher/service.py
@@ -1,4 +1,4 @@
-"""One dispatcher as a process: its signals, from start to stop."""
+"""Runs one dispatcher as a process and handles its signals."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AttachedService(Protocol):
-    """A service that was attached to the dispatcher, until it is closed."""
+    """A service that is attached to a dispatcher."""
 
     async def close(self) -> None:
         """Close the service, after the dispatcher has stopped."""
@@ -25,7 +25,7 @@
 
 async def serve(
     start: Start,
-    known: DiscoveryUpdate,
+    cached_list: DiscoveryUpdate,
     log: Log,
     read_start: Callable[[], Start],
     attach: Sequence[Callable[[Dispatcher], Awaitable[AttachedService]]] = (),
@@ -34,17 +34,18 @@
 
     Args:
         start: The settings.
-        known: The cached endpoint list.
+        cached_list: The cached endpoint list.
         log: The log.
-        read_start: Reads the settings again at SIGHUP; may raise ConfigError.
-        attach: Each adds a service to the dispatcher before it serves, and may raise what ends the start.
+        read_start: Reads the settings anew at SIGHUP; may raise ConfigError.
+        attach: Functions that attach a service each, before the dispatcher serves; an exception ends the
+            start.
     """
     hold_back_signals()
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    dispatcher = Dispatcher(start, known, log)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
+    dispatcher = Dispatcher(start, cached_list, log)
 
     def reload() -> None:
         try:
@@ -54,9 +55,9 @@
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     let_signals_through()
-    gc.freeze()  # the objects of the start stay; later collections need not look at them
+    gc.freeze()  # the objects created so far stay: later garbage collections can skip them
     services = [await attach_service(dispatcher) for attach_service in attach]
     await dispatcher.run(stop)
     for service in services:
         await service.close()
-    hold_back_signals()  # the loop removes its handlers when it closes
+    hold_back_signals()  # the event loop removes its signal handlers when it closes
--- a/locktide/dispatcher/settings.py
+++ b/locktide/dispatcher/settings.py
@@ -1,4 +1,4 @@
-"""The settings in force, and how a start or a reload puts them there."""
+"""The settings in force, and their update at start and at reload."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from locktide.transport.upstream_pool import UpstreamPool
 
 #: Microseconds after which a change of the endpoint list counts as notified on the platform's sockets, once
-#: discovery has it and can be reached, whatever became of a call.
+#: discovery has the change and can be reached; the result of a single call does not matter.
 NOTIFIED_WITHIN = 6_000_000
-#: Part of the slow-start budget of a worker that all dispatchers together plan to use. They draw without
-#: knowledge of each other, and work differs by worker type and request: the rest is for requests that
-#: fall together by chance (tests/scheduler/test_slow_start.py).
+#: Fraction of a worker's slow-start budget that all dispatchers together plan to use. Each draws without
+#: knowledge of the others, and work differs by worker type and request: the rest is for requests that
+#: coincide by chance (tests/scheduler/test_slow_start.py).
 SLOW_START_MARGIN = 0.75
 
 
 def with_socket_settings(start: Start) -> Start:
-    """Return a copy of the settings with the three fields that the platform's JSON has no key for.
+    """Return a copy of the settings with the three fields set for which the platform's JSON has no key.
 
-    They depend on the host: the simulator's adapter keeps the defaults of `scheduler.config`. The settings
-    that are given stay as they are, as others may hold them.
+    The three depend on the host: the simulator's adapter keeps the defaults of `scheduler.config`. The given
+    settings are not changed, as other code may hold them.
     """
     config = start.scheduler_config
     config = replace(
@@ -43,7 +43,7 @@
     Attributes:
         discovery: Address of discovery.
         endpoint_list: How the endpoint list is followed.
-        connect_within: How long a connection to a worker may take to come up, in microseconds.
+        connect_within: Timeout for opening a connection to a worker, in microseconds.
         longest_timeout: The longest timeout of all service classes so far, in microseconds.
     """
 
@@ -55,7 +55,7 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class SettingsUpdater:
-    """Puts settings in force; name, address, seed and limits stay those of the process."""
+    """Puts settings in force; name, listening address, seed and limits of the process do not change."""
 
     settings: DispatcherSettings
     upstream: UpstreamPool
@@ -69,14 +69,20 @@
         settings.connect_within = start.connect_within
         self.upstream.set_spans(start.connect_within, start.idle_close)
         self._apply_service_classes(start)
-        # Never less than before: a request that came under a longer timeout may still be open.
+        # Never reduced: a request that arrived under a longer timeout may still be open.
         settings.longest_timeout = max(settings.longest_timeout, *self.listener.timeouts.values())
 
     def _apply_service_classes(self, start: Start) -> None:
-        """Change the listener's tables in place: connections that are open go by them, too."""
+        """Change the listener's tables in place, as open connections use them as well."""
         classes = start.scheduler_config.service_classes
-        keyed = [each.name for each in classes if each.effect == Effect.IDEMPOTENT_WITH_KEY]
+        keyed = [
+            service_class.name
+            for service_class in classes
+            if service_class.effect == Effect.IDEMPOTENT_WITH_KEY
+        ]
         self.listener.timeouts.clear()
-        self.listener.timeouts.update({each.name: each.timeout for each in classes})
+        self.listener.timeouts.update(
+            {service_class.name: service_class.timeout for service_class in classes}
+        )
         self.listener.keyed_classes.clear()
         self.listener.keyed_classes.update(keyed)
--- a/locktide/dispatcher/shutdown.py
+++ b/locktide/dispatcher/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: what was accepted is finished before the process exits."""
+"""Graceful shutdown: finishes accepted work before the process exits."""
 
 from __future__ import annotations
 
@@ -13,19 +13,21 @@
 from locktide.transport.listener import Listener
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
-#: Seconds for which connections are accepted after SIGTERM: clients open new ones for 0.4 s.
+#: Seconds after SIGTERM in which connections are still accepted: clients open new ones for 0.4 s.
 ACCEPT_AFTER_STOP = 0.5
-#: A kill comes no sooner after SIGTERM than the smaller of this and the longest timeout, in seconds ...
+#: The process is killed no sooner after SIGTERM than the smaller of this and the longest timeout, in seconds,
+#: plus `SHUTDOWN_EXTRA`.
 SHUTDOWN_TIMEOUT = 3.0
-#: ... and this many seconds more. Requests of the first half second may be open at the kill, later ones not.
+#: See `SHUTDOWN_TIMEOUT`, in seconds. Requests that arrive within `ACCEPT_AFTER_STOP` may still be open at
+#: the kill; later ones are not, as their deadlines are limited.
 SHUTDOWN_EXTRA = 0.7
-#: Seconds between two checks whether a shutdown is over.
+#: Seconds between two checks whether the shutdown is complete.
 CHECK_INTERVAL = 0.02
 
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class GracefulShutdown:
-    """Waits until nothing is owed to anyone."""
+    """Waits until every response and cancellation is delivered."""
 
     listener: Listener
     registry: RequestRegistry
@@ -35,9 +37,9 @@
     runtime: Runtime
 
     async def run(self) -> None:
-        """Wait until the work that was accepted is done, however long that takes.
+        """Wait until the accepted work is done, however long that takes.
 
-        A kill costs what is open then no more than giving it up would.
+        There is no timeout: giving up what is still open would lose no less than a kill does.
         """
         loop = self.runtime.loop
         began_at = loop.time()
@@ -50,12 +52,12 @@
         await self.listener.wind_down()
         while loop.time() - began_at < ACCEPT_AFTER_STOP or self._has_unfinished_work():
             await asyncio.sleep(CHECK_INTERVAL)
-            await run_pending_reads()  # so that the last check is past everything that has come
+            await run_pending_reads()  # so that the last check covers every byte that has arrived
 
     def limit_new_requests(self, shutdown_deadline: float) -> None:
-        """Give new requests no later deadline than that, in seconds of the event loop."""
+        """Limit the deadlines of new requests to `shutdown_deadline`, in seconds of the event loop."""
         self.state.shutdown_deadline = shutdown_deadline
 
     def _has_unfinished_work(self) -> bool:
-        """Return whether a response, a busy connection or a cancellation is still owed."""
-        return bool(self.registry.open_count()) or self.listener.busy() or self.tasks.has_foreground()
+        """Return whether a response is due, a connection is busy or a task has to be awaited."""
+        return bool(self.registry.open_count()) or self.listener.is_busy() or self.tasks.has_foreground()
--- a/locktide/dispatcher/signals.py
+++ b/locktide/dispatcher/signals.py
@@ -1,26 +1,26 @@
-"""The signals of a dispatcher while nothing handles them: held back, so that none ends the process.
+"""Holds back the signals of a dispatcher while it has no handlers, so that none ends the process.
 
-Imports the standard library's `signal` alone, as it is called before everything else is imported.
+Imports only the standard library's `signal`, as it is called before every other import.
 """
 
 from __future__ import annotations
 
 import signal
 
-#: The signals that a dispatcher handles: its end, and new settings.
+#: The signals that a dispatcher handles: SIGINT and SIGTERM for a shutdown, SIGHUP for a reload.
 HANDLED_SIGNALS = frozenset({signal.SIGHUP, signal.SIGINT, signal.SIGTERM})
 
 
 def hold_back_signals() -> None:
-    """Block the signals of a dispatcher; one that comes meanwhile is handled after `let_signals_through`.
+    """Block the signals of a dispatcher; a signal that arrives meanwhile waits for `let_signals_through`.
 
-    Without handlers each of them ends the process at once. Before the event loop runs, a reload that
-    closely followed a start was a crash; after the loop has closed, a second SIGTERM made an orderly exit
-    one by signal. Blocked, they wait in the kernel. A thread inherits the mask of its creator.
+    Without a handler each of them ends the process at once: a reload right after a start, before the event
+    loop ran, was a crash, and a second SIGTERM after the loop was closed turned an orderly exit into one by
+    signal. Blocked signals wait in the kernel. A thread inherits the mask of its creator.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def let_signals_through() -> None:
-    """Deliver the signals that were held back, once their handlers are in place."""
+    """Deliver the signals that were held back; called once their handlers are installed."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
--- a/locktide/dispatcher/startup.py
+++ b/locktide/dispatcher/startup.py
@@ -1,4 +1,4 @@
-"""The start of a dispatcher: it accepts connections once it has the endpoint list."""
+"""The start of a dispatcher: accepts connections once the endpoint list has arrived."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     log: Log
 
     async def run(self) -> None:
-        """Listen once the list is there, or its time is over; raises OSError.
+        """Listen once the endpoint list has arrived or the wait for it has timed out; raise OSError.
 
-        A proxy in front keeps sending to a dispatcher that has restarted. Accepted before the list is there,
-        requests were sent to workers that were draining by then
+        A proxy keeps sending requests to a dispatcher that has restarted. Requests that were accepted before
+        the list arrived were sent to workers that were draining by then
         (test_nothing_is_accepted_before_the_endpoint_list_has_come).
         """
         await self.follower.wait_for_first_list()
--- a/locktide/dispatcher/worker_replies.py
+++ b/locktide/dispatcher/worker_replies.py
@@ -1,4 +1,4 @@
-"""What a worker's reply to a job means for the attempt and its request."""
+"""Applies a worker's reply to a job to the attempt and its request."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 from locktide.transport.interfaces import Response, SendResult, TransportFailure
 from locktide.transport.log import Log
 
-#: Outcomes that do not prove the end of a job once its worker has called back about it: the connection or the
-#: refusal says nothing of the job that runs, and a retry elsewhere would be a second copy.
-UNTRUSTED_ONCE_ACCEPTED = frozenset(
+#: Outcomes that do not prove that a job has ended once its worker has sent a callback about it: neither a
+#: broken connection nor a refusal says anything about the running job, and a retry elsewhere would be a
+#: second copy.
+INCONCLUSIVE_ONCE_ACCEPTED = frozenset(
     (
         AttemptOutcome.RESET,
         AttemptOutcome.CONNECTION_CLOSED,
@@ -29,7 +30,7 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class WorkerReplyHandler:
-    """Applies workers' replies, and the outcomes in place of one, to attempts."""
+    """Applies workers' replies, or the outcomes without a reply, to attempts."""
 
     registry: RequestRegistry
     completion: AttemptCompletion
@@ -39,15 +40,15 @@
     def handle_result(self, request: OpenRequest, attempt: OpenAttempt, result: SendResult) -> None:
         """Apply the result of sending an attempt."""
         if result is TransportFailure.INVALID_RESPONSE:
-            # Half a response comes from a worker that lives and may have accepted the job. Taken for its end,
-            # a retry would be a second copy; so the worker is to confirm a cancellation first
-            # (test_accepted_job_is_cancelled_at_its_worker_before_a_broken_connection_ends_it).
+            # An incomplete response comes from a worker that is alive and may have accepted the job. If it
+            # ended the attempt, a retry would be a second copy; so the worker has to confirm a cancellation
+            # first (test_accepted_job_is_cancelled_at_its_worker_before_a_broken_connection_ends_it).
             self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.RESET)
             return
         outcome = worker_messages.response_outcome(result) if isinstance(result, UpstreamResponse) else result
         if outcome is None:
             attempt.reach(AttemptStage.ACCEPTED)
-        elif attempt.was_accepted and outcome in UNTRUSTED_ONCE_ACCEPTED:
+        elif attempt.was_accepted and outcome in INCONCLUSIVE_ONCE_ACCEPTED:
             self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.RESET)
         else:
             self._finish(request, attempt, outcome)
--- a/locktide/transport/__init__.py
+++ b/locktide/transport/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets: reads and writes for the state machines in `locktide.protocol`."""
+"""Transport: reads from and writes to sockets for the state machines in `locktide.protocol`."""
--- a/locktide/transport/client_session.py
+++ b/locktide/transport/client_session.py
@@ -1,4 +1,4 @@
-"""The messages of an accepted connection, served one after another."""
+"""Serves the messages of an accepted connection, one after another."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 from locktide.transport.client_connection import ClientConnection, ConnectionState, PeerRole
 from locktide.transport.interfaces import Response
 
-#: Seconds for which what comes after our side is shut is read and dropped. A close before that meets what is
-#: under way with a reset, which can take the last response with it. Enough for what crossed the response.
+#: Seconds for which bytes are read and dropped after our side is shut. An earlier close would answer bytes
+#: that are on their way with a reset, by which the peer can lose the last response. Long enough for bytes
+#: that crossed the response.
 LINGER_TIMEOUT = 1.0
-#: The same after an early response, as the rest of its message comes: 60 MB take under one second at a fifth
-#: of a core.
+#: The same after an early response, while the rest of the message still arrives: 60 MB take less than one
+#: second with a fifth of a core.
 REJECTED_LINGER_TIMEOUT = 3.5
 
 
@@ -25,7 +26,7 @@
 
     Attributes:
         connection: The connection.
-        context: What it shares with the others of its listener.
+        context: What all connections of the listener share.
     """
 
     def __init__(self, connection: ClientConnection) -> None:
@@ -33,9 +34,10 @@
         self.context = connection.context
 
     async def run(self) -> None:
-        """Serve message after message, until one side ends the connection; raise OSError."""
+        """Serve messages until either side ends the connection; raise OSError."""
         connection = self.connection
-        # A response that is written is with the kernel then, and no close cuts it short.
+        # With this limit a write returns once the kernel has the whole response, so that no close truncates
+        # it.
         connection.writer.transport.set_write_buffer_limits(high=0)
         while not connection.http.is_final:
             message = connection.http.next_message()
@@ -49,9 +51,10 @@
         await connection.linger(LINGER_TIMEOUT)
 
     async def receive(self) -> bool:
-        """Wait for more of a message, as long as it takes if none has begun; return whether there is more.
+        """Wait for bytes of a message; return whether some have arrived and can be parsed.
 
-        A peer that has not proven itself may be neither idle nor half-way through a message for long.
+        A proven peer may be idle between two messages without limit. A peer that has not proven itself may be
+        neither idle nor within a message for long.
         """
         connection = self.connection
         if connection.http.expects_continue():
@@ -59,8 +62,8 @@
         was_idle = connection.http.is_idle
         connection.enter(ConnectionState.IDLE if was_idle else ConnectionState.RECEIVING)
         has_arrived = await self.wait_readable(was_idle)
-        # An idle connection may be closed for another one. What came all the same is not read: its client
-        # sends it again elsewhere.
+        # An idle connection may have been closed to free its descriptor. Bytes that arrived nevertheless are
+        # not read: the client sends its message again elsewhere.
         if connection.writer.is_closing():
             return False
         is_silent_newcomer = was_idle and not has_arrived
@@ -76,31 +79,36 @@
         return await self.consume()
 
     async def wait_readable(self, is_idle: bool) -> bool:
-        """Wait for bytes, closable meanwhile where nothing is lost by it; return whether some have come."""
+        """Wait for bytes; allow a close meanwhile if it loses nothing. Return whether bytes have arrived."""
         connection = self.connection
         if is_idle or not connection.is_proven:
             connection.mark_idle()
         has_no_timeout = is_idle and connection.is_proven
-        timeout = None if has_no_timeout else max(0.0, connection.message_due - connection.now())
+        timeout = None if has_no_timeout else max(0.0, connection.message_deadline - connection.now())
         has_arrived = await connection.wait_readable(timeout)
         connection.mark_busy()
         return has_arrived
 
     async def consume(self) -> bool:
-        """Feed what was read; return whether the stream continues and what is kept is within the limit."""
+        """Feed the bytes read; return whether the next message can be parsed.
+
+        It cannot be after the end of the stream or beyond the limit of stored bytes.
+        """
         connection = self.connection
         data = connection.consume()
         if connection.store(connection.http.buffered_bytes):
             return bool(data)
         stored = self.context.stored_bytes
         self.context.log.emit(
-            f"clients: {stored} bytes stored, no room for more", event="memory_limit_reached", stored=stored
+            f"clients: memory limit reached, {stored} bytes stored",
+            event="memory_limit_reached",
+            stored=stored,
         )
         await self.reject(BadRequest(HTTPStatus.INTERNAL_SERVER_ERROR, "no room"), is_final=True)
         return False
 
     async def handle(self, message: Message) -> bool:
-        """Serve one message; return whether the next may follow."""
+        """Serve one message; return whether another may follow."""
         connection = self.connection
         handler = self.context.request_handler
         if isinstance(message, SubmitRequest):
@@ -123,15 +131,15 @@
         return True
 
     async def handle_submission(self, message: SubmitRequest) -> bool:
-        """Submit a request and wait for its response, or for the client to go away."""
+        """Submit a request and wait for its response or for the client's disconnect."""
         connection = self.connection
         context = self.context
         if connection.protocol.has_ended:
-            return False  # its client had gone before it was read: nothing is begun for it
+            return False  # the client disconnected before its request was read: it is not submitted
         if context.waiting_clients >= context.max_waiting_clients:
             waiting = context.waiting_clients
             context.log.emit(
-                f"clients: {waiting} wait, no room for more, terminated",
+                f"clients: limit reached, {waiting} wait for a response, request rejected",
                 event="client_limit_reached",
                 waiting=waiting,
             )
@@ -146,7 +154,7 @@
         return await self.respond(message, response)
 
     async def respond(self, message: SubmitRequest, response: asyncio.Future[Response]) -> bool:
-        """Write the response once it is there; return whether the next message may follow."""
+        """Write the response once it is available; return whether another message may follow."""
         connection = self.connection
         self.context.waiting_clients += 1
         abandon = partial(self.abandon, message, response)
@@ -157,7 +165,7 @@
                 await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
             if response.done():
                 if response.cancelled():
-                    return False  # its client has gone
+                    return False  # the client has disconnected
                 await connection.write(response.result())
                 return True
             if not connection.consume():
@@ -166,25 +174,25 @@
             self.context.waiting_clients -= 1
             connection.store(0)
             abandon()
-        # A client sends one request at a time: what follows was meant as part of this one.
+        # A client sends one request at a time: bytes before the response were meant as part of this request.
         await self.reject(
             BadRequest(HTTPStatus.BAD_REQUEST, "something follows before the answer"), is_final=True
         )
         return False
 
     def abandon(self, message: SubmitRequest, response: asyncio.Future[Response]) -> None:
-        """Record that the client has gone, or its connection ends: nothing more is begun for it."""
+        """Report, at most once, that the client does not wait for the response any more."""
         if self.connection.protocol.on_end is not None:
             self.connection.protocol.on_end = None
             if not response.done():
                 self.context.request_handler.client_disconnected(message)
 
     async def reject(self, message: BadRequest, is_final: bool = False) -> None:
-        """Respond to a message that is not accepted, and end the connection where nothing can follow."""
+        """Respond to a message that is not accepted, and end the connection if no other can follow."""
         connection = self.connection
         connection.http.is_final = connection.http.is_final or is_final
         self.context.log.emit(
-            f"clients: not taken, {message.status}: {message.reason}",
+            f"clients: message rejected, {message.status}: {message.reason}",
             "clients",
             event="message_rejected",
             status=message.status,
--- a/locktide/transport/connection_context.py
+++ b/locktide/transport/connection_context.py
@@ -1,4 +1,4 @@
-"""What all accepted connections of a listener share."""
+"""The interface of a listener to its accepted connections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ConnectionContext(Protocol):
-    """The listener, as its connections see it.
+    """The state that all accepted connections of a listener share.
 
     Attributes:
         descriptors: Budget of the accepted connections.
@@ -19,11 +19,11 @@
         keeps_jobs: Whether clients may query the state of durable jobs.
         request_handler: Handles the messages.
         log: The log.
-        waiting_clients: How many connections wait for the response to a request.
-        max_waiting_clients: How many may.
-        stored_bytes: Bytes of messages that are half received or wait.
-        max_stored_bytes: How many there may be.
-        stopping: Whether connections end with their next response.
+        waiting_clients: Number of connections that wait for the response to a request.
+        max_waiting_clients: Upper limit of `waiting_clients`.
+        stored_bytes: Bytes of messages that are partly received or waiting.
+        max_stored_bytes: Upper limit of `stored_bytes`.
+        is_stopping: Whether each connection ends with its next response.
     """
 
     descriptors: DescriptorBudget
@@ -36,4 +36,4 @@
     max_waiting_clients: int
     stored_bytes: int
     max_stored_bytes: int
-    stopping: bool
+    is_stopping: bool
--- a/locktide/transport/descriptor_budget.py
+++ b/locktide/transport/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The budget of open sockets: a connection takes a descriptor before it opens, and returns it once closed."""
+"""The budget of open sockets: a connection takes a descriptor before it opens and returns it once closed."""
 
 from __future__ import annotations
 
@@ -8,25 +8,29 @@
 from dataclasses import dataclass
 from itertools import islice
 
-#: Descriptors kept apart: standard streams (3), the loop's own (3), the listening socket, the one just
-#: accepted, the watch and its successor; the rest for those that are closed but not yet released by the loop.
+#: Descriptors outside the budgets: standard streams (3), the event loop's own (3), the listening socket, the
+#: connection just accepted, the watch and its successor; the rest is for connections that are closed but not
+#: yet released by the loop.
 RESERVED_DESCRIPTORS = 16
-#: Percentage of the other descriptors that is for clients: a connection to a worker serves one attempt after
-#: another, a client's is in use for as long as its request runs.
+#: Percentage of the remaining descriptors that is for clients: a connection to a worker carries one attempt
+#: after another, while a client's connection is in use for as long as its request runs.
 CLIENT_PERCENTAGE = 75
-#: Turns of the event loop from bytes at a socket until their connection no longer counts as idle: the poll,
-#: the stream, the read, the wait for it, the session; and one more.
+#: Turns of the event loop from the arrival of bytes at a socket until the connection no longer counts as
+#: idle: the poll, the stream, the read, the wait for it, the session; and one more.
 READ_TURNS = 6
 
 
 async def run_pending_reads() -> None:
-    """Let everything be read that has come by now: a call to close takes fewer turns than bytes do."""
+    """Wait until all bytes that have arrived by now are read.
+
+    A close takes fewer turns of the event loop than bytes need to reach their reader.
+    """
     for _ in range(READ_TURNS):
         await asyncio.sleep(0)
 
 
 def split_descriptors(descriptors: int) -> tuple[DescriptorBudget, DescriptorBudget]:
-    """Divide a process's descriptors into the budget of clients and that of workers."""
+    """Divide the descriptors of a process into the budgets of clients and of workers."""
     available = descriptors - RESERVED_DESCRIPTORS
     clients = available * CLIENT_PERCENTAGE // 100
     return DescriptorBudget(clients), DescriptorBudget(available - clients)
@@ -34,13 +38,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EvictionCandidate:
-    """An idle connection that may be closed for another one.
+    """An idle connection that may be closed to free its descriptor.
 
     Attributes:
         connection: The connection.
-        close: Closes it for another one.
-        evictable_at: From when on that may be, in seconds of the event loop.
-        number: Counts how often connections became idle.
+        close: Closes it.
+        evictable_at: When it may be closed at the earliest, in seconds of the event loop.
+        number: Value of `DescriptorBudget.idle_count` when it became idle.
     """
 
     connection: Hashable
@@ -50,26 +54,27 @@
 
 
 class DescriptorBudget:
-    """A number of descriptors for connections.
+    """A limited number of descriptors for connections.
 
-    Where none is free, the connection that has been idle longest is closed for the next one, first of those
-    that have not proven themselves: a flood of newcomers displaces only newcomers. While each of these is so
-    new that its first message may be on its way, the next one waits.
+    If no descriptor is free, the connection that has been idle longest is evicted (closed) for the next one.
+    Connections that have not proven themselves are evicted first, so that a flood of newcomers displaces only
+    newcomers. While each of these is so new that its first message may be on its way, the next one waits.
 
-    One is evicted for each that waits, and no more. An eviction takes some turns of the loop, and connections
-    become idle meanwhile, as each does that was just opened: evicted as well, they were closed with their
-    first message unread (test_one_connection_is_evicted_for_each_that_waits_and_no_more).
+    Exactly one connection is evicted for each one that waits. An eviction takes some turns of the event loop,
+    in which other connections become idle, for example those just opened: if these were evicted as well, they
+    would be closed with their first message unread
+    (test_one_connection_is_evicted_for_each_that_waits_and_no_more).
 
     Attributes:
-        limit: How many descriptors there are.
-        used: How many are in use.
+        limit: Number of descriptors.
+        used: Number of descriptors in use.
         idle_unproven: The idle connections that have not proven themselves, idle longest first.
         idle_proven: The other idle connections, idle longest first.
         idle_count: How often connections became idle.
-        waiting: One future for each connection that waits for a descriptor, the first one first.
-        evicted: Connections that were closed for others and have not returned their descriptors yet.
-        eviction: The eviction under way.
-        eviction_timer: Starts the next eviction, once a connection may be evicted that is too new now.
+        waiting: One future for each connection that waits for a descriptor, in order of arrival.
+        evicted: Evicted connections that have not released their descriptors yet.
+        eviction: The task of the current eviction.
+        eviction_timer: Starts the next eviction once a connection that is too new now may be evicted.
     """
 
     def __init__(self, limit: int) -> None:
@@ -84,44 +89,45 @@
         self.eviction_timer: asyncio.TimerHandle | None = None
 
     async def acquire(self) -> None:
-        """Take a descriptor, once there is one."""
+        """Take a descriptor; wait until one is free."""
         while self.used >= self.limit:
-            place: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self.waiting.append(place)
+            waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+            self.waiting.append(waiter)
             self.schedule_eviction()
             try:
-                await place
+                await waiter
             except asyncio.CancelledError:
-                if not place.cancelled():
-                    self.wake_next()  # the descriptor was for this one, and is for the next now
+                if not waiter.cancelled():
+                    self.wake_next()  # passes the descriptor on to the next one that waits
                 raise
         self.used += 1
 
     def release(self, connection: Hashable) -> None:
-        """Return the descriptor of a connection that is closed."""
+        """Return the descriptor of a closed connection."""
         self.used -= 1
         self.mark_busy(connection)
         self.evicted.discard(connection)
         self.wake_next()
 
     def wake_next(self) -> None:
-        """Let the first that still waits take a descriptor."""
+        """Wake the first connection that still waits for a descriptor."""
         while self.waiting:
-            place = self.waiting.popleft()
-            if not place.done():
-                place.set_result(None)
+            waiter = self.waiting.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
     def mark_idle(
         self, connection: Hashable, close: Callable[[], None], proven: bool = True, evictable_at: float = 0.0
     ) -> None:
-        """Record that a connection may be closed for another one.
+        """Record that a connection may be closed to free its descriptor.
 
         Args:
             connection: The connection.
             close: Closes it.
             proven: Whether its peer has shown that it is a client or a worker.
-            evictable_at: From when on it may be closed, in seconds of the event loop; at once by default.
+            evictable_at: When it may be closed at the earliest, in seconds of the event loop; at once by
+                default.
         """
         self.idle_count += 1
         idle = self.idle_proven if proven else self.idle_unproven
@@ -130,61 +136,61 @@
             self.schedule_eviction()
 
     def mark_busy(self, connection: Hashable) -> None:
-        """Record that a connection may not be closed for another one."""
+        """Record that a connection must not be closed to free its descriptor."""
         self.idle_proven.pop(connection, None)
         self.idle_unproven.pop(connection, None)
 
     def schedule_eviction(self) -> None:
-        """Start an eviction where none is under way."""
+        """Start an eviction unless one is running."""
         if self.eviction is None:
             self.eviction = asyncio.create_task(self.evict())
 
-    def wanted(self) -> int:
-        """Return how many connections are to be evicted: one for each that waits."""
-        return sum(not place.done() for place in self.waiting) - len(self.evicted)
+    def missing_evictions(self) -> int:
+        """Return how many more connections have to be evicted, so that there is one for each that waits."""
+        return sum(not waiter.done() for waiter in self.waiting) - len(self.evicted)
 
     async def evict(self) -> None:
-        """Close an idle connection for each that waits, or wait until one may be closed."""
+        """Evict an idle connection for each that waits; set a timer if those left are too new."""
         try:
             last_number = 0
-            while self.wanted() > 0 and self.idle_count > last_number:
+            while self.missing_evictions() > 0 and self.idle_count > last_number:
                 last_number = self.idle_count
-                # A connection may be closed only after what has come was read: else a request is lost that
-                # was at the socket before the eviction
-                # (test_message_that_has_come_is_read_before_an_eviction). What becomes idle meanwhile has
-                # not been read in turn, and is left to the next round.
+                # A connection may be closed only after all bytes that have arrived are read: otherwise a
+                # request that was at the socket before the eviction is lost
+                # (test_message_that_has_come_is_read_before_an_eviction). For connections that become idle
+                # meanwhile this does not hold yet; they are left to the next iteration.
                 await run_pending_reads()
                 self.close_idle(last_number)
         finally:
             self.eviction = None
-        if self.wanted() > 0:
+        if self.missing_evictions() > 0:
             self.schedule_next_eviction()
 
     def candidates(self) -> Collection[EvictionCandidate]:
-        """Return the idle connections of which one may be closed, idle longest first."""
+        """Return the idle connections from which the next is evicted, idle longest first."""
         return (self.idle_unproven or self.idle_proven).values()
 
     def close_idle(self, last_number: int) -> None:
-        """Close an idle connection for each that waits, of those that became idle up to that number."""
+        """Evict an idle connection for each that waits, only of those numbered up to `last_number`."""
         now = asyncio.get_running_loop().time()
         evictable = (
             idle for idle in self.candidates() if idle.evictable_at <= now and idle.number <= last_number
         )
-        for idle in list(islice(evictable, max(0, self.wanted()))):
+        for idle in list(islice(evictable, max(0, self.missing_evictions()))):
             self.mark_busy(idle.connection)
             self.evicted.add(idle.connection)
             idle.close()
 
     def schedule_next_eviction(self) -> None:
-        """Set a timer for when the first of the connections that are too new now may be evicted."""
+        """Set a timer for the time at which the first of the too new connections may be evicted."""
         candidates = self.candidates()
         if not candidates or self.eviction_timer is not None:
             return
         evictable_at = min(idle.evictable_at for idle in candidates)
-        self.eviction_timer = asyncio.get_running_loop().call_at(evictable_at, self.evict_after_wait)
+        self.eviction_timer = asyncio.get_running_loop().call_at(evictable_at, self.evict_on_timer)
 
-    def evict_after_wait(self) -> None:
-        """Start the eviction for which the timer was set."""
+    def evict_on_timer(self) -> None:
+        """Start the eviction that the timer was set for."""
         self.eviction_timer = None
         if self.waiting:
             self.schedule_eviction()
--- a/locktide/transport/endpoint_watch.py
+++ b/locktide/transport/endpoint_watch.py
@@ -14,28 +14,29 @@
 from locktide.transport.log import Log
 from locktide.transport.upstream_stream import READ_SIZE, read_response
 
-#: Milliseconds for which discovery is to hold a call where nothing has changed. A change that does not reach
-#: us counts as notified 2 s after the wait is over: a short wait keeps that close. One call a second costs
-#: well under a thousandth of a core.
+#: Milliseconds for which discovery holds a call while nothing changes. A change that does not reach us counts
+#: as notified 2 s after the wait has ended, so a short wait limits how long we may miss it. One call per
+#: second costs well under a thousandth of a core.
 WAIT_MS = 1000
 #: Seconds beyond the wait after which a call without a response has timed out: the agent responds at once
-#: when the wait is over. Also how long the connection may take to come up.
+#: when the wait has ended. Also the timeout for opening the connection.
 RESPONSE_TIMEOUT = 0.5
-#: Seconds between a call that failed at once, or brought nothing before its time, and the next one, which
-#: must come within 200 ms.
+#: Seconds between a call that failed at once, or returned without changes before its wait had ended, and the
+#: next call, which must follow within 200 ms.
 RETRY_DELAY = 0.1
-#: Seconds after which a call without a wait has timed out. While an agent is silent it is called so often:
-#: what it has counts as notified from the moment on at which it responds again, and a drain may be 250 ms old
-#: by the first request after that.
+#: Seconds after which a call without a wait has timed out; a silent agent is called at this interval. Changes
+#: that the agent has count as notified from the moment at which it responds again, and a drain may be 250 ms
+#: old by the first request after that.
 POLL_TIMEOUT = 0.15
 MILLISECONDS_PER_SECOND = 1000
 
 
 async def retry_soon(timed_out: bool) -> None:
-    """Wait until an agent whose calls cost nothing is to be called again.
+    """Wait until the next call to an agent whose calls are cheap.
 
     Args:
-        timed_out: Whether the call before timed out, so that it was waited for; else it failed at once.
+        timed_out: Whether the previous call timed out, after which no further wait is needed; otherwise it
+            failed at once.
     """
     if not timed_out:
         await asyncio.sleep(RETRY_DELAY)
@@ -44,16 +45,16 @@
 class EndpointWatch:
     """Calls discovery for changes of the endpoint list until it is cancelled.
 
-    A call that works gets its response at the end of its wait at the latest. Without one the watch is broken,
-    which is found within half a second of that.
+    A successful call gets its response at the end of its wait at the latest. Half a second later, a call
+    without a response counts as failed.
 
     Attributes:
-        address: Where discovery listens.
-        version: Version of the list that is held; None where the whole list is to be fetched.
+        address: Address of discovery.
+        version: Version of the list that is held; None if the whole list has to be fetched.
         is_failing: Whether the last call failed.
     """
 
-    def __init__(  # noqa: PLR0913 - the last two are options for agents whose calls are work for others
+    def __init__(  # noqa: PLR0913 - the last two are options for agents whose calls are expensive
         self,
         address: Address,
         on_update: Callable[[DiscoveryUpdate], None],
@@ -63,17 +64,17 @@
         first_response_timeout: float = RESPONSE_TIMEOUT,
         wait_for_retry: Callable[[bool], Awaitable[None]] = retry_soon,
     ) -> None:
-        """Begin before the first call.
+        """Create a watch that has made no call yet.
 
         Args:
-            address: Where discovery listens.
-            on_update: Takes each update.
+            address: Address of discovery.
+            on_update: Called with each update.
             log: The log.
             version: Version of the list that is held already.
             first_response_timeout: Seconds beyond the wait that the response to the first call on a
-                connection may take: where calls are work for others, a call waits its turn.
-            wait_for_retry: Waits for the moment of the next call after one that failed; it is given whether
-                that one timed out.
+                connection may take: an agent whose calls are expensive lets a call wait for its turn.
+            wait_for_retry: Called after a failed call, with whether it timed out; waits until the next call
+                may be made.
         """
         self.address = address
         self.version = version
@@ -84,11 +85,11 @@
         self._wait_for_retry = wait_for_retry
 
     async def run(self) -> None:
-        """Call, and call again after each failure."""
+        """Follow the list, and start again after each failure."""
         while True:
             try:
                 await self._follow()
-            except Exception as error:  # protects the watch: whatever failed, the list must be followed
+            except Exception as error:  # protects the watch: the list must be followed after any error
                 timed_out = isinstance(error, TimeoutError)
                 if not self.is_failing:
                     self._log_failure(error, timed_out)
@@ -96,12 +97,12 @@
                 await self._wait_for_retry(timed_out)
 
     async def _follow(self) -> None:
-        """Call on one connection for as long as each call gets a response.
+        """Make calls on one connection for as long as each gets a response.
 
         Raises:
-            TimeoutError: The connection does not come up, or a call gets no response in time.
+            TimeoutError: The connection is not established, or a call gets no response in time.
             OSError: The connection cannot be opened, or breaks.
-            ProtocolError: A response is no HTTP response with status 200.
+            ProtocolError: A response is not an HTTP response with status 200.
             ValueError: A response contains no JSON.
             ConfigError: A response contains no endpoint list.
         """
@@ -125,7 +126,7 @@
         writer: asyncio.StreamWriter,
         response_timeout: float,
     ) -> DiscoveryUpdate:
-        """Fetch changes once; `response_timeout` in seconds beyond the wait. Raise as `_follow` does."""
+        """Make one call; `response_timeout` is in seconds beyond the wait. Raise as `_follow` does."""
         is_polling = self.is_failing and self._wait_for_retry is retry_soon
         wait_ms = 0 if is_polling else WAIT_MS
         timeout = POLL_TIMEOUT if is_polling else wait_ms / MILLISECONDS_PER_SECOND + response_timeout
@@ -137,22 +138,23 @@
         return discovery.parse(response.body)
 
     async def _handle(self, update: DiscoveryUpdate, called_at: float) -> None:
-        """Pass on what a call brought; a call that brought nothing before its time is followed by a delay."""
+        """Pass on the update of a call; wait after a call that returned early without changes."""
         self._log_rejected_entries(update)
         self._accept_version(update)
-        # After a failure an update without entries is passed on too: the scheduler has to know that the list
-        # is current again.
+        # The first update after a failure is passed on even without entries: the scheduler has to know that
+        # the list is current again.
         if self._end_failure(update) or update.is_snapshot or update.entries:
             self._on_update(update)
         elif asyncio.get_running_loop().time() < called_at + RETRY_DELAY:
-            # Without a delay an agent that responds at once with nothing would be called in a busy loop.
+            # Without a delay, an agent that always responds at once without changes would be called in a busy
+            # loop.
             await asyncio.sleep(RETRY_DELAY)
 
     def _accept_version(self, update: DiscoveryUpdate) -> None:
-        """Hold the version of an update, or fetch the whole list next.
+        """Store the version of an update, or make the next call fetch the whole list.
 
-        A delta with a lower version comes from an agent with a count of its own: the list that is held was
-        cached from elsewhere.
+        A delta with a lower version comes from an agent that counts versions on its own: the list that is
+        held came from another agent, by way of the cache.
         """
         is_behind = self.version is not None and update.version < self.version and not update.is_snapshot
         self.version = None if is_behind else update.version
@@ -163,7 +165,7 @@
             return False
         self.is_failing = False
         self._log.emit(
-            f"worker list: answers again, version {update.version}",
+            f"endpoint list: discovery responds again, version {update.version}",
             event="discovery_recovered",
             version=update.version,
         )
@@ -172,7 +174,7 @@
     def _log_failure(self, error: Exception, timed_out: bool) -> None:
         cause = "silent" if timed_out else f"{type(error).__name__}: {error}"
         self._log.emit(
-            f"worker list: no answer ({cause}), calling anew", event="discovery_failed", error=cause
+            f"endpoint list: no response ({cause}), retrying", event="discovery_failed", error=cause
         )
 
     def _log_rejected_entries(self, update: DiscoveryUpdate) -> None:
@@ -181,7 +183,7 @@
         count = len(update.faults)
         first = update.faults[0]
         self._log.emit(
-            f"worker list: {count} entries not taken, the first for {first}",
+            f"endpoint list: {count} entries rejected, first error: {first}",
             event="endpoint_entries_rejected",
             count=count,
             first=first,
--- a/locktide/transport/errors.py
+++ b/locktide/transport/errors.py
@@ -1,7 +1,7 @@
 """Errors of connections; each names the peer.
 
-An attempt's outcome is made of them: `NoDescriptorError` says that nothing was sent and no worker is at
-fault, `ConnectError` that the worker could not be reached.
+They determine the outcome of an attempt: `NoDescriptorError` says that nothing was sent and that this is no
+fault of the worker, `ConnectError` that the worker could not be reached.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class TransportError(LocktideError):
-    """Base of the errors of connections.
+    """Base class of the errors of connections.
 
     Attributes:
         peer: Name of the peer.
@@ -23,17 +23,17 @@
 
 
 class NoDescriptorError(TransportError):
-    """No descriptor came free in time for a connection."""
+    """No descriptor became free in time for a connection."""
 
     def __init__(self, peer: str) -> None:
-        super().__init__(peer, "no descriptor came free in time")
+        super().__init__(peer, "no descriptor became free in time")
 
 
 class ConnectError(TransportError):
-    """A connection did not come up.
+    """A connection could not be established.
 
     Attributes:
-        address: The address that was tried.
+        address: Address of the peer.
     """
 
     def __init__(self, peer: str, address: Address) -> None:
--- a/locktide/transport/idle_connections.py
+++ b/locktide/transport/idle_connections.py
@@ -6,7 +6,7 @@
 
 
 class IdleConnections:
-    """Open connections on which no request is under way.
+    """Open connections to workers that carry no request now.
 
     Attributes:
         by_worker: The connections to each worker, idle longest first.
@@ -28,12 +28,15 @@
         return self.by_worker.pop(worker, [])
 
     def reusable(self, worker: str, now: float) -> list[UpstreamConnection]:
-        """Return the connections to a worker that may carry a request, used last first; `now` in seconds."""
+        """Return the connections to a worker that may carry a request, last used first; `now` in seconds."""
         connections = self.by_worker.get(worker, [])
         return [connection for connection in reversed(connections) if connection.reusable_at <= now]
 
     def expired(self, idle_before: float) -> list[UpstreamConnection]:
-        """Return the connections that are idle since before that time, in seconds, or were closed."""
+        """Return the connections that became idle before `idle_before`, in seconds, or are unusable.
+
+        Unusable connections have ended or have received bytes without a request.
+        """
         return [
             connection
             for connections in self.by_worker.values()
--- a/locktide/transport/interfaces.py
+++ b/locktide/transport/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces of the transport: what it calls, what calls it, and the values that pass between them."""
+"""Interfaces between the transport, its callers and the handlers that it calls."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """A response to a client or a worker; `headers` without those of framing."""
+    """A response to a client or a worker; `headers` does not include those for framing."""
 
     status: int
     body: bytes = b""
@@ -31,18 +31,18 @@
         """Return whether the dispatcher accepts requests."""
 
     def submit(self, message: SubmitRequest) -> asyncio.Future[Response] | None:
-        """Return the response to come; None where a request with that id is open, or was."""
+        """Return the future of the response; None if its id is in use or was recently."""
 
     def client_disconnected(self, message: SubmitRequest) -> None:
-        """Take the notice that nobody waits for the response any more.
+        """Handle that the client does not wait for the response any more.
 
-        A dispatcher cancels the request; a durable job goes on.
+        A dispatcher cancels the request; a durable job continues.
         """
 
     def handle_callback(self, message: Callback) -> Awaitable[None] | None:
-        """Take a callback; where something to await is returned, the worker gets its response after that.
+        """Handle a callback; if an awaitable is returned, the worker gets its response once it is done.
 
-        Where it raises OSError, the worker gets none and keeps what it has reported.
+        If it raises OSError, the worker gets no response and keeps its message to repeat it.
         """
 
     def query_job(self, message: JobQuery) -> Response:
@@ -50,7 +50,7 @@
 
 
 class System(Protocol):
-    """The machine under a dispatcher: the operating system, or a simulation in virtual time."""
+    """The clock and the listening sockets of a dispatcher: the real ones, or simulated in virtual time."""
 
     def wall(self) -> float:
         """Return Unix time in seconds."""
@@ -60,13 +60,13 @@
 
 
 class TransportFailure(StrEnum):
-    """A failure on a connection that by itself does not say how the attempt ended."""
+    """A failure of a connection that alone does not determine the outcome of the attempt."""
 
-    #: What came back is no response, or half of one. Its worker lives and may have accepted the request.
+    #: The worker sent an invalid or incomplete response. It is alive and may have accepted the request.
     INVALID_RESPONSE = "invalid response"
 
 
-#: The response to a request to a worker, or what became of the request in place of one.
+#: The response to a request to a worker, or the outcome or failure if there is none.
 SendResult: TypeAlias = UpstreamResponse | AttemptOutcome | TransportFailure
 
 
@@ -81,12 +81,12 @@
         sent: Callable[[], None],
         fresh: bool = False,
     ) -> SendResult:
-        """Send a request and return its response, or what became of it; a cancellation closes the connection.
+        """Send a request; return its response, outcome or failure. A cancellation closes the connection.
 
         Args:
             worker: Name of the worker.
             address: Its address.
-            build: Called right before the first byte; returns None where nothing may be sent any more.
-            sent: Called once the kernel has the last byte.
-            fresh: Whether to send it on a new connection rather than an idle one.
+            build: Called right before the first byte; returns None if the request must not be sent any more.
+            sent: Called once the kernel has taken the last byte.
+            fresh: Whether to send it on a new connection instead of an idle one.
         """
--- a/locktide/transport/kernel_queue.py
+++ b/locktide/transport/kernel_queue.py
@@ -1,4 +1,4 @@
-"""How long bytes have lain in the kernel, where it says so."""
+"""Reads from the kernel how long ago a connection last received data."""
 
 from __future__ import annotations
 
@@ -6,22 +6,24 @@
 import sys
 from typing import Any
 
-#: Where `struct tcp_info` of Linux has the milliseconds since data last came in, and the size of that field.
+#: Offset in Linux's `struct tcp_info` of the milliseconds since data last arrived, and the size of that
+#: field.
 LAST_DATA_OFFSET = 52
 LAST_DATA_SIZE = 4
 MICROSECONDS_PER_MILLISECOND = 1000
-#: Longest time that is believed, in microseconds: a socket that has had no data says the time since the boot.
-MAX_TIME = 10_000_000
+#: Longest plausible time, in microseconds: a socket that has received no data reports the time since the
+#: boot.
+MAX_PLAUSIBLE_TIME = 10_000_000
 
 
 def time_since_data(connection: Any) -> int:
-    """Return how long ago data last came in on a connection, read or not, in microseconds.
+    """Return how long ago data last arrived on a connection, read or not, in microseconds.
 
     Args:
-        connection: the socket; None where there is none, as in virtual time.
+        connection: The socket; None without one, as in virtual time.
 
     Returns:
-        0 where the system does not say.
+        The time in microseconds; 0 if the system does not say.
     """
     option = getattr(socket, "TCP_INFO", None)
     if connection is None or option is None:
@@ -33,5 +35,5 @@
         return 0
     if len(info) < size:
         return 0
-    since = int.from_bytes(info[LAST_DATA_OFFSET:size], sys.byteorder) * MICROSECONDS_PER_MILLISECOND
-    return since if since <= MAX_TIME else 0
+    elapsed = int.from_bytes(info[LAST_DATA_OFFSET:size], sys.byteorder) * MICROSECONDS_PER_MILLISECOND
+    return elapsed if elapsed <= MAX_PLAUSIBLE_TIME else 0
--- a/locktide/transport/listener.py
+++ b/locktide/transport/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket on which clients send requests and workers call back."""
+"""The listening socket for the requests of clients and the callbacks of workers."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from locktide.transport.log import Log
 from locktide.transport.system import RealSystem
 
-#: Connections in the kernel's queue.
+#: Length of the kernel's queue of connections that are not accepted yet.
 BACKLOG = 1024
-#: Seconds after a failed accept until the next.
+#: Seconds between a failed accept and the next.
 ACCEPT_RETRY_DELAY = 0.01
-#: One in so many descriptors is not for clients that wait, so that workers can always call back and health be
-#: checked. One in eight is enough, as a callback takes a thousandth of the time that a client waits.
-CALLBACK_PART = 8
+#: One in this many descriptors is reserved for callbacks and health checks, which must be possible while
+#: clients wait. One in eight is enough, as a callback takes a thousandth of the time that a client waits.
+CALLBACK_RESERVE_DIVISOR = 8
 
 
 class Listener:
     """Owns the listening socket and the connections that it accepted.
 
-    Its attributes are those of `ConnectionContext`, and:
+    It has the attributes of `ConnectionContext` and these:
 
     Attributes:
-        connections: The open connections, in the order in which they came: what is done to each of them is
-            done in the same order in every run.
-        tasks: One for each connection, for as long as it has a descriptor.
-        is_placing: Whether an accepted connection waits for its descriptor.
+        connections: The open connections, in order of their accept, so that a loop over them has the same
+            order in every run.
+        tasks: One task for each connection, for as long as the connection has a descriptor.
+        is_awaiting_descriptor: Whether an accepted connection waits for its descriptor.
     """
 
-    def __init__(  # noqa: PLR0913 - collaborators and settings, handed over once
+    def __init__(  # noqa: PLR0913 - collaborators and settings, passed only here
         self,
         descriptors: DescriptorBudget,
         timeouts: dict[str, int],
@@ -45,13 +45,13 @@
         log: Log,
         system: System | None = None,
     ) -> None:
-        """Begin before it listens.
+        """Create a listener that does not listen yet.
 
         Args:
             descriptors: Budget of the accepted connections.
             timeouts: Timeout of each service class in microseconds; may be changed at any time.
-            keyed_classes: Service classes whose requests need an idempotency key; may be changed, too.
-            max_stored_bytes: How many bytes of messages that are half received or wait may be kept.
+            keyed_classes: Service classes whose requests need an idempotency key; may be changed at any time.
+            max_stored_bytes: Upper limit of the bytes of messages that are partly received or waiting.
             request_handler: Handles the messages.
             log: The log.
             system: Opens the listening socket; the operating system by default.
@@ -66,14 +66,14 @@
         self.connections: dict[ClientConnection, None] = {}
         self.tasks: dict[asyncio.Task[None], None] = {}
         self.waiting_clients = 0
-        self.max_waiting_clients = descriptors.limit - descriptors.limit // CALLBACK_PART
+        self.max_waiting_clients = descriptors.limit - descriptors.limit // CALLBACK_RESERVE_DIVISOR
         self.stored_bytes = 0
         self.max_stored_bytes = max_stored_bytes
-        self.is_placing = False
-        self.stopping = False
+        self.is_awaiting_descriptor = False
+        self.is_stopping = False
 
     def listen(self, address: Address) -> None:
-        """Listen, and accept from now on; raise OSError."""
+        """Listen and start to accept connections; raise OSError."""
         self.socket = self.system.listening(address, BACKLOG)
         self.socket.setblocking(False)
         self.accepting = asyncio.create_task(self.accept())
@@ -85,29 +85,31 @@
             try:
                 accepted, _ = await loop.sock_accept(self.socket)
             except OSError as error:
-                self.log.emit(f"clients: cannot accept ({error})", event="accept_failed", error=str(error))
+                self.log.emit(
+                    f"clients: cannot accept a connection ({error})", event="accept_failed", error=str(error)
+                )
                 await asyncio.sleep(ACCEPT_RETRY_DELAY)
                 continue
-            # The one just accepted waits for its descriptor here, the others in the kernel's queue.
-            self.is_placing = True
+            # The accepted connection waits for its descriptor here, the next ones wait in the kernel's queue.
+            self.is_awaiting_descriptor = True
             await self.descriptors.acquire()
-            self.is_placing = False
+            self.is_awaiting_descriptor = False
             task = asyncio.create_task(self.serve(accepted))
             self.tasks[task] = None
             task.add_done_callback(self.tasks.pop)
 
     async def serve(self, accepted: socket.socket) -> None:
-        """Serve one connection, until it is closed and its descriptor returned."""
+        """Serve one connection until it is closed; then release its descriptor."""
         connection = None
         try:
             connection = await self.open_connection(accepted)
             self.connections[connection] = None
             await ClientSession(connection).run()
         except OSError:
-            pass  # the other side is gone; the handler of its request has been notified
+            pass  # the peer is gone; the request handler has been notified
         except Exception as error:  # protects the other connections
             cause = f"{type(error).__name__}: {error}"
-            self.log.emit(f"clients: a connection ended by {cause}", event="connection_failed", error=cause)
+            self.log.emit(f"clients: a connection failed: {cause}", event="connection_failed", error=cause)
         finally:
             if connection is None:
                 accepted.close()
@@ -125,31 +127,31 @@
         return ClientConnection(self, protocol, writer)
 
     async def wind_down(self) -> None:
-        """End connections with their next response, and those of clients that are idle now.
+        """End the idle connections of clients now, and all others with their next response.
 
-        One that was just opened stays: its first message may be on its way, and no client sends that again as
-        it does on a connection that was reused
-        (test_wind_down_ends_idle_connections_and_not_those_just_opened). What has come is read first: a call
-        to stop takes fewer turns of the loop than bytes do, and requests that had come before it were lost
-        (test_wind_down_reads_what_has_come_before_it_ends_idle_connections).
+        A connection that was just opened stays: its first message may be on its way, and a client resends a
+        message only on a connection that was reused
+        (test_wind_down_ends_idle_connections_and_not_those_just_opened). Bytes that have arrived are read
+        first: a call to stop takes fewer turns of the event loop than bytes do, and requests that had arrived
+        before it were lost (test_wind_down_reads_what_has_come_before_it_ends_idle_connections).
         """
-        self.stopping = True
+        self.is_stopping = True
         await run_pending_reads()
         for connection in self.connections:
             if connection.is_idle and connection.peer is not PeerRole.WORKER:
                 connection.half_close(LINGER_TIMEOUT)
 
-    def busy(self) -> bool:
-        """Return whether a message is on its way in, or may be, or a response on its way out.
+    def is_busy(self) -> bool:
+        """Return whether a message is being received, or may be on its way, or a response is due.
 
-        A connection that was just opened counts as busy: its first message may be on its way, and no client
-        sends that again. Those that send nothing are closed in their time.
+        A connection that was just opened counts as busy: its first message may be on its way, and the client
+        would not resend it. A connection on which nothing is sent is closed after `MESSAGE_TIMEOUT`.
         """
         idle_count = sum(connection.is_idle for connection in self.connections)
-        return self.is_placing or len(self.tasks) > idle_count
+        return self.is_awaiting_descriptor or len(self.tasks) > idle_count
 
     async def stop(self) -> None:
-        """Accept nothing more, and end what is left."""
+        """Stop accepting connections, and cancel those that are left."""
         self.accepting.cancel()
         self.socket.close()
         for task in self.tasks:
--- a/locktide/transport/log.py
+++ b/locktide/transport/log.py
@@ -1,4 +1,4 @@
-"""The log: plain lines on standard error, limited to a rate."""
+"""The log: plain lines on standard error, with a limited rate."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from contextlib import suppress
 from typing import Any
 
-#: Characters of a line, which may hold what a faulty client sent.
+#: Maximum characters of a line, which may contain text that a faulty client sent.
 MAX_LINE_LENGTH = 300
-#: Lines of one category at once: one second with many faults may be logged in full.
+#: Lines of one category that may be written at once: one second with many faults may be logged completely.
 BURST = 40
-#: Lines of one category beyond that: an hour with many faults must not fill a disk.
+#: Lines of one category per second beyond the burst: an hour with many faults must not fill a disk.
 LINES_PER_SECOND = 5.0
 
 
 class RateLimit:
-    """A token bucket for the lines of one category, with the number of lines dropped since the last.
+    """A token bucket for the lines of one category, with a count of the dropped lines.
 
     Attributes:
-        tokens: How many lines may be written at once.
-        refilled_at: When tokens were added last, in seconds of the monotonic clock.
-        dropped: Lines dropped since the last that was written.
+        tokens: Number of lines that may be written at once now.
+        refilled_at: When tokens were last added, in seconds of the monotonic clock.
+        dropped: Number of lines dropped since the last call of `reset_dropped`.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self.dropped = 0
 
     def take(self) -> bool:
-        """Return whether a line may be written now; else it counts as dropped."""
+        """Return whether a line may be written now; if not, count it as dropped."""
         now = time.monotonic()
         self.tokens = min(BURST, self.tokens + (now - self.refilled_at) * LINES_PER_SECOND)
         self.refilled_at = now
@@ -41,7 +41,7 @@
         return True
 
     def reset_dropped(self) -> int:
-        """Return how many lines were dropped since the last call."""
+        """Return the number of lines dropped since the last call, and reset it."""
         dropped = self.dropped
         self.dropped = 0
         return dropped
@@ -60,22 +60,22 @@
         self.limits: dict[str, RateLimit] = {}
 
     def emit(self, line: str, kind: str = "", event: str = "", **fields: Any) -> None:
-        """Write a line, unless too many of its category were written lately.
+        """Write a line, unless too many of its category were written recently.
 
         Args:
-            line: The line, for a log that is read by people.
-            kind: Its category. Each is limited on its own: lines about faulty clients must not suppress those
-                about workers.
-            event: Id of the event, for a log that is read by programs.
-            fields: What the line says, for the same.
+            line: The line, for a readable log.
+            kind: Its category. Each category has its own rate limit: lines about faulty clients must not
+                suppress those about workers.
+            event: Id of the event, for a structured log.
+            fields: The values in the line, for a structured log.
         """
         limit = self.limits.setdefault(kind, RateLimit())
         if limit.take():
             self.write(line[:MAX_LINE_LENGTH], limit.reset_dropped(), event, fields)
 
-    def write(self, line: str, dropped: int, event: str, fields: dict[str, Any]) -> None:  # noqa: ARG002 - for programs
+    def write(self, line: str, dropped: int, event: str, fields: dict[str, Any]) -> None:  # noqa: ARG002 - for structured logs
         """Write a line, with the number of lines that were dropped before it."""
         if dropped:
             line = f"{line} ({dropped} lines before this one left out)"
-        with suppress(OSError):  # standard error is closed: the dispatcher serves on without a log
+        with suppress(OSError):  # standard error is closed: the dispatcher continues without a log
             print(f"{time.time():.3f} {self.name} {line}", file=sys.stderr, flush=True)
--- a/locktide/transport/system.py
+++ b/locktide/transport/system.py
@@ -1,4 +1,4 @@
-"""The operating system, as a dispatcher uses it beside the event loop."""
+"""The operating system's clock and listening sockets, which the event loop does not provide."""
 
 from __future__ import annotations
 
--- a/locktide/transport/units.py
+++ b/locktide/transport/units.py
@@ -1,4 +1,4 @@
-"""Units of time: configuration, events and the clock count microseconds, the event loop counts seconds."""
+"""Units of time: configuration, events and the clock use microseconds, the event loop uses seconds."""
 
 from __future__ import annotations
 
--- a/locktide/transport/upstream_connection.py
+++ b/locktide/transport/upstream_connection.py
@@ -15,11 +15,11 @@
     read_response,
 )
 
-#: Seconds for which a connection carries no further request after a response that ended an attempt. A worker
-#: may send a response twice, some milliseconds apart: the second would be read as the response to the next
-#: request, and a job that runs would count as rejected
-#: (test_connection_is_not_reused_while_its_response_may_be_sent_twice). A 202 needs no such delay: read as
-#: the response to the next job, it says that the job may run, which is true.
+#: Seconds for which a connection is not reused after a response that ended an attempt. A worker may send a
+#: response twice, some milliseconds apart: the second would be read as the response to the next request, and
+#: a running job would count as rejected (test_connection_is_not_reused_while_its_response_may_be_sent_twice).
+#: A 202 needs no such delay: read as the response to the next job, it says that the job may run, which is
+#: true.
 DUPLICATE_RESPONSE_WINDOW = 0.05
 
 
@@ -30,10 +30,10 @@
         worker: Name of the worker.
         address: Its address.
         http: Encodes requests and parses responses.
-        is_connected: Whether it has come up.
-        is_reused: Whether it has carried a request before this one.
+        is_connected: Whether it was established.
+        is_reused: Whether it has carried a request before the current one.
         idle_since: When it became idle, in seconds of the event loop.
-        received_when_idle: How many bytes had come in by then.
+        received_when_idle: Number of bytes that had arrived by then.
         reusable_at: When it may carry the next request, in seconds of the event loop.
     """
 
@@ -71,9 +71,9 @@
         self.is_connected = True
 
     async def write(self, request: UpstreamRequest, on_written: Callable[[], None]) -> None:
-        """Write a request, and call `on_written` once the kernel has its last byte; raise OSError.
+        """Write a request, and call `on_written` once the kernel has taken its last byte; raise OSError.
 
-        Before that call the request has not been sent.
+        Until that call the request does not count as sent.
         """
         transport = self.writer.transport
         self.protocol.on_drained = on_written
@@ -95,27 +95,27 @@
 
     @property
     def is_quiet(self) -> bool:
-        """Whether nothing has come since the last response: neither an end nor bytes without a request.
+        """Whether the connection has neither ended nor received bytes without a request.
 
-        Bytes that came while it was idle may be a response that was sent twice: it would be taken for the
+        Bytes that arrived while it was idle may be a duplicate response, which would be taken for the
         response to the next request
         (test_response_sent_twice_is_not_taken_for_the_response_to_the_next_request).
         """
-        nothing_came = not self.is_reused or self.reader.received_bytes == self.received_when_idle
-        return nothing_came and not self.reader.at_eof() and not self.writer.is_closing()
+        has_received_nothing = not self.is_reused or self.reader.received_bytes == self.received_when_idle
+        return has_received_nothing and not self.reader.at_eof() and not self.writer.is_closing()
 
     def end_exchange(self) -> bool:
-        """End the exchange that it carried; return whether it can carry another."""
-        self.is_reused = False  # what has come up to here came for the request
+        """End the current exchange; return whether the connection can carry another."""
+        self.is_reused = False  # bytes received up to now belong to the request
         return self.http.is_idle and self.is_quiet
 
     def become_idle(self) -> None:
-        """Await the next request, from now on."""
+        """Record that the connection is idle from now on."""
         self.is_reused = True
         self.received_when_idle = self.reader.received_bytes
         self.idle_since = asyncio.get_running_loop().time()
 
     def abort(self) -> None:
-        """Close the connection, if it has come up."""
+        """Close the connection, if it was established."""
         if self.is_connected:
             self.writer.transport.abort()
--- a/locktide/transport/upstream_exchange.py
+++ b/locktide/transport/upstream_exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a worker: a request, and its response or what became of the request."""
+"""One exchange with a worker: a request, and its response, outcome or failure."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class CallOnce:
-    """Passes on the first of its calls.
+    """Calls a callback at most once.
 
-    The write buffer of a connection may run empty several times while one request is written.
+    While one request is written, the write buffer of a connection may become empty several times.
 
     Attributes:
-        was_called: Whether a call has come.
+        was_called: Whether the callback was called.
     """
 
     __slots__ = ("_callback", "was_called")
@@ -27,7 +27,7 @@
         self.was_called = False
 
     def __call__(self) -> None:
-        """Call the callback, the first time."""
+        """Call the callback, the first time only."""
         if not self.was_called:
             self.was_called = True
             self._callback()
@@ -36,7 +36,7 @@
 async def exchange(
     connection: UpstreamConnection, build: Callable[[], UpstreamRequest | None], sent: Callable[[], None]
 ) -> SendResult:
-    """Send a request on an open connection; return its response, or what became of the request.
+    """Send a request on an open connection; return its response, or the outcome or failure.
 
     `build` and `sent` are those of `RequestSender.send`.
     """
@@ -54,9 +54,9 @@
 
 
 def _result_of_break(connection: UpstreamConnection) -> SendResult:
-    """Return what became of a request that was sent on a connection that broke before its response."""
+    """Return the result of a request whose connection broke after it was sent and before its response."""
     if connection.http.has_received:
         return TransportFailure.INVALID_RESPONSE
-    # A worker may close an idle connection while the next request is on its way: that is no fault of the
+    # A worker may close an idle connection while the next request is on its way: this is not a failure of the
     # worker and must not count as one (test_break_of_a_reused_connection_is_closed_or_an_invalid_response).
     return AttemptOutcome.CONNECTION_CLOSED if connection.is_reused else AttemptOutcome.RESET
--- a/locktide/transport/upstream_pool.py
+++ b/locktide/transport/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to workers: opened when needed, reused, closed before a worker would."""
+"""The pool of connections to workers: opens them on demand, reuses them, closes them before workers do."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 from locktide.transport.upstream_connection import UpstreamConnection
 from locktide.transport.upstream_exchange import exchange
 
-#: Part of the time for which a worker keeps an idle connection after which it is closed here: what is written
-#: must not cross the worker's own close, however late either side runs.
-IDLE_TIMEOUT_PART = 0.5
+#: An idle connection is closed here after this fraction of the time for which a worker keeps it: a request
+#: must not cross the worker's own close, even if either side is late.
+IDLE_TIMEOUT_FRACTION = 0.5
 
 
 class UpstreamPool:
-    """Owns all connections to workers; `close` is the one place where one is given back.
+    """Owns all connections to workers; only `close` releases the descriptor of one.
 
     Attributes:
         descriptors: Budget of these connections.
         idle: The idle connections.
-        connect_timeout: How long a connection may take to come up, and may wait for a descriptor, in seconds.
+        connect_timeout: Timeout for opening a connection, and for the wait for its descriptor, in seconds.
         idle_timeout: How long a connection may be idle, in seconds.
     """
 
     def __init__(self, descriptors: DescriptorBudget, connect_within: int, idle_close: int) -> None:
-        """Begin without connections; for the times see `set_spans`."""
+        """Create a pool without connections; the times are those of `set_spans`."""
         self.descriptors = descriptors
         self.idle = IdleConnections()
         self.set_spans(connect_within, idle_close)
 
     def set_spans(self, connect_within: int, idle_close: int) -> None:
-        """Set the timeouts; connections that are idle go by them from now on, too.
+        """Set the timeouts; they apply to connections that are idle already as well.
 
         Args:
-            connect_within: How long a connection may take to come up, in microseconds.
+            connect_within: Timeout for opening a connection, in microseconds.
             idle_close: How long a worker keeps an idle connection, in microseconds.
         """
         self.connect_timeout = connect_within / MICROSECONDS_PER_SECOND
-        self.idle_timeout = IDLE_TIMEOUT_PART * idle_close / MICROSECONDS_PER_SECOND
+        self.idle_timeout = IDLE_TIMEOUT_FRACTION * idle_close / MICROSECONDS_PER_SECOND
 
     async def send(
         self,
@@ -68,28 +68,28 @@
             self._give_back(connection)
 
     def close_idle(self, worker: str) -> None:
-        """Close a worker's idle connections: it is gone, has moved, or has restarted."""
+        """Close the idle connections to a worker that is gone, has a new address or has restarted."""
         for connection in self.idle.remove_worker(worker):
             self.close(connection)
 
     def close_expired(self) -> None:
-        """Close the connections that were idle long enough or were closed by the worker."""
+        """Close the idle connections that have expired or were closed by the worker."""
         now = asyncio.get_running_loop().time()
         for connection in self.idle.expired(now - self.idle_timeout):
             self._close_one_idle(connection)
 
     def close(self, connection: UpstreamConnection) -> None:
-        """Close a connection that is not idle and give back its descriptor."""
+        """Close a connection that is not idle, and release its descriptor."""
         self.descriptors.mark_busy(connection)
         connection.abort()
         self.descriptors.release(connection)
 
     async def _acquire(self, worker: str, address: Address, fresh: bool) -> UpstreamConnection:
-        """Return an idle connection, or a new one; a new one in any case where `fresh`.
+        """Return an idle connection, or a new one if there is none or `fresh` is set.
 
         Raises:
-            NoDescriptorError: No descriptor came free in time.
-            ConnectError: The new connection did not come up.
+            NoDescriptorError: No descriptor became free in time.
+            ConnectError: The new connection could not be established.
         """
         connection = None if fresh else self._take_idle(worker, address)
         return connection or await self._open(worker, address)
@@ -103,7 +103,7 @@
         connection = UpstreamConnection(worker, address)
         try:
             await asyncio.wait_for(connection.connect(), self.connect_timeout)
-        except BaseException as error:  # a cancellation too: whatever happens, the descriptor is given back
+        except BaseException as error:  # also on cancellation: the descriptor is released in any case
             self.close(connection)
             if isinstance(error, OSError):
                 raise ConnectError(worker, address) from error
@@ -111,7 +111,7 @@
         return connection
 
     def _take_idle(self, worker: str, address: Address) -> UpstreamConnection | None:
-        """Return the idle connection used last, and close those met that cannot be used any more."""
+        """Return the last used idle connection that is usable; close unusable ones found on the way."""
         now = asyncio.get_running_loop().time()
         for connection in self.idle.reusable(worker, now):
             self.idle.remove(connection)
@@ -122,7 +122,7 @@
         return None
 
     def _give_back(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next request, or close it where it cannot carry one."""
+        """Keep a connection for the next request, or close it if it cannot carry one."""
         if not connection.end_exchange():
             self.close(connection)
             return
--- a/locktide/transport/upstream_stream.py
+++ b/locktide/transport/upstream_stream.py
@@ -1,4 +1,4 @@
-"""Streams to workers and to discovery: opening them, and reading responses from them."""
+"""Streams to workers and to discovery: opens them and reads responses from them."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from locktide.config.address import Address
 from locktide.protocol.client_connection import ClientHttpConnection, UpstreamResponse
 
-#: Bytes read at once from discovery and from workers.
+#: Bytes of one read from discovery or a worker.
 READ_SIZE = 65536
 
 
 class CountingStreamReader(asyncio.StreamReader):
-    """Counts the bytes that come in, read or not.
+    """Counts the bytes that arrive, whether they are read or not.
 
     Attributes:
-        received_bytes: How many bytes have come in.
+        received_bytes: Number of bytes that have arrived.
     """
 
     received_bytes = 0
 
     def feed_data(self, data: Any) -> None:
-        """Take bytes from the transport."""
+        """Count and buffer bytes from the transport."""
         self.received_bytes += len(data)
         super().feed_data(data)
 
 
 class DrainNotifyingProtocol(asyncio.StreamReaderProtocol):
-    """Calls `on_drained` in the very loop turn in which the kernel takes the last byte that was written.
+    """Calls `on_drained` in the same loop turn in which the kernel takes the last byte that was written.
 
-    `StreamWriter.drain` returns some turns later. An end or a cancellation of the same turn would come first,
-    and a message that the worker has whole would count as never sent
-    (test_attempt_is_sent_in_the_loop_turn_in_which_the_kernel_takes_its_last_byte).
+    `StreamWriter.drain` returns some turns later. The end of the connection or a cancellation in the same
+    turn would be handled first, and a message that the worker has received completely would count as never
+    sent (test_attempt_is_sent_in_the_loop_turn_in_which_the_kernel_takes_its_last_byte).
     """
 
     on_drained: Callable[[], None] | None = None
 
     def resume_writing(self) -> None:
-        """Take the notice that the write buffer is empty."""
+        """Handle that the write buffer is empty."""
         super().resume_writing()
         if self.on_drained is not None:
             self.on_drained()
@@ -50,8 +50,8 @@
 ) -> tuple[CountingStreamReader, asyncio.StreamWriter, DrainNotifyingProtocol]:
     """Open a stream as asyncio.open_connection does; raise OSError.
 
-    Its reader counts, and what is written waits in no buffer of this process: once the buffer of the
-    transport is empty, the kernel has every byte.
+    The reader counts its bytes. The write limit of the transport is 0: a write is drained only once the
+    kernel has taken every byte.
     """
     loop = asyncio.get_running_loop()
     reader = CountingStreamReader(limit=READ_SIZE, loop=loop)
@@ -62,7 +62,7 @@
 
 
 async def read_response(reader: asyncio.StreamReader, http: ClientHttpConnection) -> UpstreamResponse:
-    """Read until a response is complete; raise OSError, or ProtocolError where it breaks off."""
+    """Read until a response is complete; raise OSError, or ProtocolError if it is cut off."""
     response = None
     while response is None:
         response = http.feed(await reader.read(READ_SIZE))
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -159,7 +159,7 @@
         client.setblocking(False)
         client.sendall(submit(Req_Deadline="3000m"))
         await clerk.until(1)
-        server.stopping = True
+        server.is_stopping = True
         caller = next(iter(server.connections))
         clerk.answers[0].set_result(Response(200, result))
         await until(lambda: caller.state is ConnectionState.LINGERING or caller.writer.is_closing())
@@ -222,8 +222,8 @@
         caller.peer = PeerRole.CLIENT
         await until(lambda: caller.state is ConnectionState.IDLE)
         await server.wind_down()
-        assert server.busy()
-        await until(lambda: not server.busy())
+        assert server.is_busy()
+        await until(lambda: not server.is_busy())
         client.close()
 
     served(story)
@@ -326,7 +326,7 @@
         second = socket.create_connection(address)
         await until(lambda: server.descriptors.waiting)
         caller.state, caller.peer = ConnectionState.IDLE, PeerRole.CLIENT  # as if nothing else were owed
-        assert server.busy()
+        assert server.is_busy()
         caller.state = ConnectionState.SERVING
         reset(first)
         await until(lambda: len(server.connections) == 1 and caller not in server.connections)
--- a/tests/transport/test_endpoint_watch.py
+++ b/tests/transport/test_endpoint_watch.py
@@ -103,7 +103,7 @@
             assert play.node.endpoints.accepts_requests("w0")
             await asyncio.sleep(0.001)
         assert calls == len(answers) and not play.node.endpoints.accepts_requests("w0")
-        assert [line for line in play.lines_logged if "no answer" in line] != []
+        assert [line for line in play.lines_logged if "no response" in line] != []
         assert play.node.follower.watch_task is not None
         play.node.follower.watch_task.cancel()
         listening.close()
