--- a/locktide/cluster/__init__.py
+++ b/locktide/cluster/__init__.py
@@ -1,4 +1,5 @@
-"""What dispatchers agree upon: which of them are alive, and how much of each quota each may use.
+"""The cluster of dispatchers: they agree on which of them are alive and how much of each quota each may use.
 
-Off unless it is switched on; docs/design/cluster.md has the promises and their proofs.
+The cluster is off unless the configuration switches it on. docs/design/cluster.md states the guarantees and
+proves them.
 """
--- a/locktide/cluster/bootstrap.py
+++ b/locktide/cluster/bootstrap.py
@@ -1,4 +1,4 @@
-"""Starts the cluster member of a dispatcher by the file of an installation."""
+"""Configures and starts the cluster member of a dispatcher from the installation file."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 #: Size of the seed of a member's random choices, in bits.
 RANDOM_SEED_BITS = 60
-#: Thousandths in one of a resource or a weight, as the fairness ledger counts them.
+#: Thousandths in one unit of a resource or a weight; the fairness ledger counts in thousandths.
 THOUSANDTHS = 1000
-#: Time added to the longest timeout of a job, in seconds, for what is on its way.
+#: Time added to the longest timeout of a job, in seconds, for messages that are still on their way.
 LEDGER_MARGIN = 1.0
 MICROSECONDS_PER_SECOND = 1e6
 NANOSECONDS_PER_MICROSECOND = 1000
 
 
 def cluster_config(installation: Installation) -> ClusterConfig:
-    """Return the configuration of this process's member: one quota for each tenant.
+    """Return the configuration of this process's member, with one quota for each tenant.
 
-    The generation, the time of the start, distinguishes this process from any other of its name.
+    The generation is the time of the start, which distinguishes this process from any other of its name.
 
     Raises:
         ConfigError: an address is malformed.
@@ -60,7 +60,7 @@
 def fairness_config(installation: Installation) -> FairnessConfig:
     """Return the configuration of the fairness ledger; amounts and weights are in thousandths.
 
-    A job may run until its timeout, and no attempt to cancel it is made after that.
+    A job may run until its timeout; the dispatcher makes no attempt to cancel it after that.
     """
     resources = installation.cluster.resources
     service_classes = installation.service_classes
@@ -83,14 +83,14 @@
 
 
 def open_trace(path: str) -> TextIO | None:
-    """Open the trace file, which the transport closes; None where no path is set."""
+    """Open the trace file, which the transport closes; return None if no path is set."""
     if not path:
         return None
-    return Path(path).open("a", encoding="utf-8")  # noqa: SIM115 - it stays open while the member runs
+    return Path(path).open("a", encoding="utf-8")  # noqa: SIM115 - the file stays open while the member runs
 
 
 async def join(event_source: EventSource, installation: Installation, log: Log) -> UdpTransport:
-    """Join the cluster on behalf of a dispatcher.
+    """Start the cluster member of a dispatcher, which joins the cluster.
 
     Raises:
         ConfigError: an address is malformed.
--- a/locktide/cluster/borrowing/__init__.py
+++ b/locktide/cluster/borrowing/__init__.py
@@ -1,1 +1,1 @@
-"""Idle quota lent to members of other quotas, and revoked once its own demand returns."""
+"""Borrowing: idle parts of a quota are lent to other quotas, and revoked once its own demand returns."""
--- a/locktide/cluster/borrowing/lender.py
+++ b/locktide/cluster/borrowing/lender.py
@@ -1,4 +1,4 @@
-"""One quota whose idle part may be lent, as the leader sees it; whole numbers, no I/O."""
+"""The leader's state of one quota whose idle part may be lent; integer arithmetic, no I/O."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from locktide.cluster.quota.allocation import WHOLE
 
-#: Time without demand after which a quota is idle, and for which it lends nothing after its return, in
-#: microseconds. Of a tenant with two requests a second one gap in four hundred is longer.
+#: Time without demand after which a quota counts as idle, and time for which it lends nothing after it was
+#: reclaimed, in microseconds. At two requests a second, one gap between requests in four hundred is longer.
 IDLE_AFTER = 3_000_000
-#: Time in which the peak of what a lender uses halves, in microseconds.
+#: Time in which the recorded peak of a lender's demand halves, in microseconds.
 PEAK_HALF_LIFE = 2_000_000
-#: How many times its peak a lender retains: requests come in bunches.
+#: How many times its peak demand a lender retains, because requests arrive in bursts.
 HEADROOM = 2
 
 
@@ -21,12 +21,12 @@
 
     Attributes:
         rate: the rate of the whole quota, in millionths of a token a second.
-        divisible: how much of the whole may be divided at all, in millionths.
-        last_demand_at: when there was demand for it last.
-        used_rate: the decaying peak of what is demanded of it, in millionths of a token a second.
+        divisible: how much of the whole may be divided among the members, in millionths.
+        last_demand_at: when it last had demand.
+        used_rate: the decaying peak of its demand, in millionths of a token a second.
         used_rate_at: when that peak was last updated.
         reclaimed_at: when its loans were last reclaimed.
-        lends_again_at: until when it lends nothing after that.
+        lends_again_at: until when it lends nothing after it was reclaimed.
         retained: how much of the whole is not planned to be lent, in millionths.
     """
 
@@ -40,24 +40,24 @@
     retained: int = WHOLE
 
     def record_rate(self, rate: int, now: int) -> None:
-        """Take in the rate that is demanded of it now."""
+        """Update the peak with the rate of its current demand."""
         elapsed = min(PEAK_HALF_LIFE, now - self.used_rate_at)
         decayed_peak = self.used_rate - self.used_rate * elapsed // (2 * PEAK_HALF_LIFE)
         self.used_rate = max(rate, decayed_peak)
         self.used_rate_at = now
 
     def reclaim(self, now: int) -> None:
-        """Lend nothing for a while."""
+        """Stop lending for `IDLE_AFTER`."""
         self.reclaimed_at = now
         self.lends_again_at = now + IDLE_AFTER
         self.retained = WHOLE
 
     def is_reclaiming(self, now: int) -> bool:
-        """Return whether it was reclaimed so lately that it lends nothing."""
+        """Return whether it was reclaimed so recently that it still lends nothing."""
         return now < self.lends_again_at
 
     def lendable_share(self, lent_fraction: int, now: int) -> int:
-        """Return how much of its whole may be lent: `lent_fraction` of what is unused, all in millionths."""
+        """Return how much of its whole may be lent: `lent_fraction` of the unused part, all in millionths."""
         if self.is_reclaiming(now) or not self.rate:
             return 0
         needed = HEADROOM * self.used_rate * WHOLE // self.rate
--- a/locktide/cluster/borrowing/loan_allocator.py
+++ b/locktide/cluster/borrowing/loan_allocator.py
@@ -1,8 +1,8 @@
-"""Plans which quota lends to which, as the leader sees them; no I/O, whole numbers.
+"""The leader's plan of loans between quotas; no I/O, integer arithmetic.
 
-A quota lends a stated part of what it does not use. From its first request after it was idle on, or once its
-demand exceeds what it had retained, all its loans are revoked and it lends nothing for a while. No quota
-lends while it borrows or borrows while it lends, so no loan is ever passed on.
+A quota lends a configured fraction of its unused part. When its first request after an idle time arrives, or
+its demand exceeds the part that it retained, all its loans are revoked and it lends nothing for a while. No
+quota lends while it borrows or borrows while it lends, so a borrowed amount is never lent on.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 from locktide.cluster.quota.token_bucket import MICROSECONDS_PER_SECOND, UNITS_PER_TOKEN
 from locktide.cluster.quota.types import Loans, QuotaDemand, QuotaShares
 
-#: Least part of its whole that a lender lends, in millionths: less is not worth its leases.
+#: Smallest part of its whole that a lender lends, in millionths: less is not worth the cost of its leases.
 MIN_LOAN = 20_000
 #: Ratio of demand to whole above which a quota is short, as numerator and denominator.
 SHORT_RATIO = (21, 20)
-#: Of a steady demand a report has what was demanded in so many request intervals: the count of the last one,
-#: and half of the former count, which has the same in it.
+#: How many request intervals of demand a report covers while demand is steady: the count of the last interval
+#: plus half of the previous report, which is as large as this one.
 REPORTED_INTERVALS = 2
 
 
 def rate_of_demand(demand: int) -> int:
     """Return the rate of a steady demand from its report, in millionths of a token a second.
 
-    `demand` is in tokens, and halved with each request.
+    `demand` is the reported count of tokens, which the member halves with each request.
     """
     reported_time = REPORTED_INTERVALS * REQUEST_INTERVAL
     return demand * UNITS_PER_TOKEN * MICROSECONDS_PER_SECOND // reported_time
 
 
 class LoanAllocator:
-    """Keeps the planned loans; the allocator grants of them what fits.
+    """Keeps the planned loans, of which the allocator grants as much as is available.
 
     Times are microseconds of the leader's clock.
 
     Attributes:
-        lent_fraction: how much of what is unused may be lent, in millionths.
+        lent_fraction: how much of an unused part may be lent, in millionths.
         lenders: the state of each quota that may be lent.
         planned_loans: the loans of the last plan, in millionths of the lender's whole.
     """
@@ -50,7 +50,7 @@
         Args:
             rates: the rates of the quotas that may be lent, in millionths of a token a second.
             divisible: how much of each quota is divided, in millionths of its whole.
-            lent_fraction: how much of what is unused may be lent, in millionths.
+            lent_fraction: how much of an unused part may be lent, in millionths.
             now: the time.
         """
         self.lent_fraction = lent_fraction
@@ -63,7 +63,7 @@
         self.planned_loans: Loans = {}
 
     def record_demand(self, quota: QuotaIndex, now: int) -> bool:
-        """Note demand for the quota; return whether loans of it have to be revoked for that."""
+        """Record demand for the quota; return whether its loans have to be revoked because of it."""
         lender = self.lenders.get(quota)
         if lender is None:
             return False
@@ -72,7 +72,7 @@
         return was_idle and self.reclaim(quota, now)
 
     def reclaim(self, quota: QuotaIndex, now: int) -> bool:
-        """Plan no loans of the quota any more; return whether there were any."""
+        """Drop all planned loans of the quota, which lends nothing for a while; return whether it had any."""
         self.lenders[quota].reclaim(now)
         lent = [key for key in self.planned_loans if key.lender == quota]
         for key in lent:
@@ -80,7 +80,7 @@
         return bool(lent)
 
     def is_reclaiming(self, quota: QuotaIndex, now: int) -> bool:
-        """Return whether the quota was reclaimed so lately that it lends nothing."""
+        """Return whether the quota was reclaimed so recently that it still lends nothing."""
         lender = self.lenders.get(quota)
         return lender is not None and lender.is_reclaiming(now)
 
@@ -91,12 +91,12 @@
     def replan(
         self, demand: QuotaDemand, borrowing_order: list[QuotaIndex], outstanding: Loans, now: int
     ) -> list[QuotaIndex]:
-        """Plan the loans anew from the demand of all members.
+        """Make a new plan of the loans from the demand of all members.
 
         Args:
             demand: the reported demand by quota, in tokens.
             borrowing_order: quotas that borrow first, in this order.
-            outstanding: what may be lent at this moment.
+            outstanding: the loans that may be in force at this moment.
             now: the time.
 
         Returns:
@@ -108,15 +108,15 @@
         borrowing = {borrower for _, borrower in outstanding}
         shortfalls = self._shortfalls(demanded, lending, borrowing_order)
         lendable = self._lendable_rates(borrowing | shortfalls.keys(), now)
-        given = fill_evenly(shortfalls, sum(lendable.values()))
-        loan_rates = match_loans(given, lendable, self._planned_rates())
+        allocated = fill_evenly(shortfalls, sum(lendable.values()))
+        loan_rates = match_loans(allocated, lendable, self._planned_rates())
         self.planned_loans = self._loans_of_rates(loan_rates)
         for quota, lender in self.lenders.items():
             lender.retained = WHOLE - self._lent_share(quota)
         return reclaimed
 
     def _reclaim_exceeded(self, demanded: Rates, now: int) -> list[QuotaIndex]:
-        """Reclaim the quotas whose demand exceeds what they have retained; return those with loans."""
+        """Reclaim the quotas whose demand exceeds the part that they retain; return those that had loans."""
         reclaimed: list[QuotaIndex] = []
         for quota, lender in self.lenders.items():
             lender.record_rate(demanded[quota], now)
@@ -129,7 +129,7 @@
     def _shortfalls(
         self, demanded: Rates, lending: set[QuotaIndex], borrowing_order: list[QuotaIndex]
     ) -> Rates:
-        """Return by how much the demand of each short quota exceeds its whole, in the order of borrowing."""
+        """Return the shortfall of each short quota, its demand less its whole, in the order of borrowing."""
         numerator, denominator = SHORT_RATIO
         short = {
             quota: demanded[quota] - lender.rate
@@ -152,7 +152,7 @@
         }
 
     def _loans_of_rates(self, rates: LoanRates) -> Loans:
-        """Return the loans in millionths of their lenders; those of less than a millionth are left out."""
+        """Return the loans in millionths of their lenders; omit those of less than a millionth."""
         shares = {key: rate * WHOLE // self.lenders[key.lender].rate for key, rate in rates.items()}
         return {key: share for key, share in shares.items() if share}
 
--- a/locktide/cluster/borrowing/matching.py
+++ b/locktide/cluster/borrowing/matching.py
@@ -1,4 +1,4 @@
-"""Which borrower gets how much, and from which lender; pure functions on whole numbers."""
+"""Decides how much each borrower gets and from which lender; pure functions on integers."""
 
 from __future__ import annotations
 
@@ -7,46 +7,46 @@
 
 #: Rates by quota, in millionths of a token a second.
 Rates = dict[QuotaIndex, int]
-#: Rates that are lent, in the same unit.
+#: Rates of loans, in the same unit.
 LoanRates = dict[LoanKey, int]
 
 
 def fill_evenly(shortfalls: Rates, available: int) -> Rates:
-    """Give equal amounts to each, up to its shortfall; what cannot be divided is given by their order."""
-    given = dict.fromkeys(shortfalls, 0)
+    """Return an equal amount for each quota, up to its shortfall; a remainder goes to the first quotas."""
+    allocated = dict.fromkeys(shortfalls, 0)
     unfilled = list(shortfalls)
     while unfilled and available:
         even = max(1, available // len(unfilled))
         for borrower in list(unfilled):
-            amount = min(even, shortfalls[borrower] - given[borrower], available)
-            given[borrower] += amount
+            amount = min(even, shortfalls[borrower] - allocated[borrower], available)
+            allocated[borrower] += amount
             available -= amount
-            if given[borrower] == shortfalls[borrower]:
+            if allocated[borrower] == shortfalls[borrower]:
                 unfilled.remove(borrower)
-    return given
+    return allocated
 
 
-def match_loans(given: Rates, lendable: Rates, previous: LoanRates) -> LoanRates:
-    """Return from which lender each borrower's amount comes.
+def match_loans(allocated: Rates, lendable: Rates, previous: LoanRates) -> LoanRates:
+    """Return the loans that give each borrower its allocated amount.
 
-    It is the same lender as before, as far as it has enough, since each move of a loan costs the time until
-    the former one has ended; then any lender that has some left.
+    A borrower keeps its previous lenders as far as these have enough, since a moved loan can begin only after
+    the previous one has ended. The rest of its amount comes from any lender that has some left.
     """
     loans: LoanRates = {}
-    needed = dict(given)
-    left = dict(lendable)
+    needed = dict(allocated)
+    remaining = dict(lendable)
 
     def lend(lender: QuotaIndex, borrower: QuotaIndex, limit: int) -> None:
-        amount = min(needed.get(borrower, 0), left.get(lender, 0), limit)
+        amount = min(needed.get(borrower, 0), remaining.get(lender, 0), limit)
         if amount > 0:
             key = LoanKey(lender, borrower)
             loans[key] = loans.get(key, 0) + amount
             needed[borrower] -= amount
-            left[lender] -= amount
+            remaining[lender] -= amount
 
     for (lender, borrower), amount in sorted(previous.items()):
         lend(lender, borrower, amount)
     for borrower in needed:
-        for lender in left:
+        for lender in remaining:
             lend(lender, borrower, needed[borrower])
     return loans
--- a/locktide/cluster/config.py
+++ b/locktide/cluster/config.py
@@ -1,4 +1,4 @@
-"""Configuration of a cluster member, and what a member reports to its host after each call."""
+"""Configuration of a cluster member, and the changes that a member reports to its host after each call."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
     Attributes:
         member_id: name and generation of this process.
-        address: where the other members reach it.
+        address: address at which the other members reach it.
         acceptors: addresses by name of the members that elect the leader; an odd number.
-        seeds: addresses at which other members are first contacted.
-        quotas: what is divided among the members.
-        reserved_fraction: part of each quota that is spread evenly as guaranteed minimums.
+        seeds: addresses at which it first contacts other members.
+        quotas: the quotas that are divided among the members.
+        reserved_fraction: fraction of each quota that is spread evenly as guaranteed minimums.
         max_members: how many processes may run at once.
-        random_seed: of the member's random choices.
-        lendable_fraction: part of what a quota's owner leaves idle that may be lent.
+        random_seed: seed of the member's random choices.
+        lendable_fraction: fraction of the idle part of a quota that may be lent.
         fairness: configuration of the fairness ledger; None for no ledger.
     """
 
@@ -42,11 +42,11 @@
 
 @dataclass(slots=True)
 class MemberUpdate:
-    """What the last call has changed.
+    """Changes made by the last call of a member's method.
 
     Attributes:
-        quotas_changed: whether the quotas in force have, or which tenants are over their fair shares.
-        leases_renewed: whether the leases in force end at other times.
+        quotas_changed: whether the quotas in force, or the set of tenants over their fair shares, changed.
+        leases_renewed: whether the expiry times of the leases in force have changed.
         events: changes of the membership.
     """
 
--- a/locktide/cluster/dispatcher_link.py
+++ b/locktide/cluster/dispatcher_link.py
@@ -1,4 +1,4 @@
-"""Connects a cluster member to its dispatcher, whose demand it reports and whose scheduler it updates."""
+"""Connects a cluster member to its dispatcher: reports the dispatcher's demand and updates its scheduler."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 from locktide.cluster.quota.allocation import WHOLE
 from locktide.scheduler.events import ConfigReloaded, QuotaSharesUpdated, QuotaStage, RequestArrived
 
-#: For how long the scheduler takes a tenant to be over its share, in microseconds from the last update, and
-#: after how long it is notified again while a tenant is: a member that is stuck holds nobody back for good.
+#: How long the scheduler treats a tenant as over its fair share after an update, and how long until the next
+#: update while a tenant is over its share, in microseconds. An update expires so that a member that is stuck
+#: does not hold a tenant back for good.
 OVER_SHARE_VALIDITY = 5_000_000
 OVER_SHARE_REFRESH = OVER_SHARE_VALIDITY // 2
 #: Later than any time of any clock, in microseconds.
@@ -26,7 +27,7 @@
 
 
 class EventSource(Protocol):
-    """What the cluster needs of a dispatcher: to observe its events and commands, and to give it events."""
+    """The part of a dispatcher that the cluster uses: observers of its events and commands, and its input."""
 
     observers: list[Callable[[object], None]]
 
@@ -39,7 +40,7 @@
 
 
 class MemberHost(Protocol):
-    """Who runs the member and knows its time."""
+    """Runs the member and provides its clock."""
 
     def now(self) -> int:
         """Return the time of the member's clock in whole microseconds."""
@@ -55,9 +56,9 @@
         loop: the event loop of the dispatcher.
         event_source: the dispatcher.
         member: the cluster member.
-        host: what runs the member.
-        quota_names: the tenants that have a quota.
-        notified_at: when the scheduler was notified last, by its own clock.
+        host: the host that runs the member.
+        quota_names: the names of the tenants that have a quota.
+        notified_at: when the scheduler was last notified, by the scheduler's clock.
     """
 
     def __init__(self, event_source: EventSource, member: ClusterMember, host: MemberHost) -> None:
@@ -69,7 +70,7 @@
         self.notified_at = 0
 
     def attach(self) -> None:
-        """Begin to observe the dispatcher."""
+        """Start observing the dispatcher."""
         self.event_source.observers.append(self.on_event)
 
     def detach(self) -> None:
@@ -77,54 +78,55 @@
         self.event_source.observers.remove(self.on_event)
 
     def on_event(self, event: object) -> None:
-        """Take in an event or command of the dispatcher.
+        """Process an event or command of the dispatcher.
 
-        What clients request is the demand that the allocation follows, and what they use of the workers is
-        counted in the ledger.
+        Requests of clients are counted as the demand that the allocation follows; their use of the workers is
+        counted in the fairness ledger.
         """
         if type(event) is ConfigReloaded:
-            # The scheduler has begun with new shares, and has to be notified of those in force once more.
+            # After a reload the scheduler starts with new shares, so notify it again of those in force.
             self.loop.call_soon(self.emit_quota_shares)
             return
         if self.member.ledger is not None:
             self.member.ledger.usage.observe(event)
         if type(event) is RequestArrived and event.tenant in self.quota_names:
             previous_wakeup = self.member.next_wakeup
-            # Counts the demand. The tokens that it takes are for checks: the scheduler has its own buckets.
+            # This call counts the demand. The tokens that it takes serve checks only: the scheduler limits
+            # requests by its own buckets.
             self.member.spend(event.tenant, self.host.now())
             if self.member.next_wakeup < previous_wakeup:
                 self.host.schedule_wakeup()  # demand after a pause is reported to the leader at once
 
     def refresh_over_share(self) -> None:
-        """Notify the scheduler anew before it forgets which tenants are over their fair shares."""
+        """Notify the scheduler again before its knowledge of the tenants over their fair shares expires."""
         if not self.member.tenants_over_share:
             return
         if self.event_source.clock.now() >= self.notified_at + OVER_SHARE_REFRESH:
             self.emit_quota_shares()
 
     def emit_quota_shares(self) -> None:
-        """Notify the scheduler of the shares in force, and until when by its own clock."""
+        """Notify the scheduler of the shares in force and of their expiry by the scheduler's clock."""
         quota = self.member.local_quota
-        own_now = self.host.now()
-        their_now = self.event_source.clock.now()
+        member_now = self.host.now()
+        scheduler_now = self.event_source.clock.now()
         # The two clocks differ by a constant.
-        until = their_now + max(0, quota.shares_until - own_now)
+        until = scheduler_now + max(0, quota.shares_until - member_now)
         shares = {name: share / WHOLE for name, share in quota.shares.items()}
         minimums = dict.fromkeys(shares, quota.guaranteed_minimum / WHOLE)
         stages = [QuotaStage(until, shares), QuotaStage(FOREVER, minimums)]
         if quota.loans:
-            loans_until = min(until, their_now + max(0, quota.loans_until - own_now))
+            loans_until = min(until, scheduler_now + max(0, quota.loans_until - member_now))
             stages.insert(0, QuotaStage(loans_until, shares, self.borrowed_shares()))
         update = QuotaSharesUpdated(
             stages,
             over_fair_share=self.member.tenants_over_share,
-            over_fair_share_until=their_now + OVER_SHARE_VALIDITY,
+            over_fair_share_until=scheduler_now + OVER_SHARE_VALIDITY,
         )
-        self.notified_at = their_now
+        self.notified_at = scheduler_now
         self.event_source.enqueue_event(update)
 
     def borrowed_shares(self) -> dict[str, float]:
-        """Return what each quota borrows, as a fraction of its own rate."""
+        """Return how much each quota borrows, as a fraction of its own rate."""
         quota = self.member.local_quota
         borrowed: dict[str, float] = {}
         for (lender, borrower), loan in quota.loans.items():
--- a/locktide/cluster/election/acceptor.py
+++ b/locktide/cluster/election/acceptor.py
@@ -1,8 +1,8 @@
 """Acceptor of the leader lease: votes on ballots (PaxosLease; Trencseni, Gazso, Reinhardt, 2012).
 
-Nothing is kept on disk. An acceptor that has just started does not know what it had promised before, so it is
-silent until any lease that it may have helped to grant has expired at its owner. The package docstring has
-the safety argument.
+Nothing is kept on disk. An acceptor that has just started has lost its earlier promises, so it is silent
+until any lease that it may have helped to grant has expired at its owner. The package docstring has the
+safety argument.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
     """One vote in the election of the leader. Times are microseconds of its own clock.
 
     Attributes:
-        lease_duration: how long a lease counts here, in microseconds: longer than at its owner.
-        silent_until: no message is answered before that.
+        lease_duration: how long a lease counts here, in microseconds; longer than at its owner.
+        silent_until: time before which no message is answered.
         promised: the highest ballot that was promised.
-        lease_owner: whose lease was accepted last; None where none was.
-        lease_until: when that lease ends here.
+        lease_owner: the owner of the last accepted lease; None before the first one.
+        lease_until: when that lease ends by this acceptor's clock.
     """
 
     def __init__(self, now: int, lease: int = LEADER_LEASE) -> None:
-        """`lease` is the duration by which the owner counts, in microseconds."""
+        """`lease` is the duration of the lease at its owner, in microseconds."""
         self.lease_duration = lifetime_at_grantor(lease)
         self.silent_until = now + self.lease_duration
         self.promised = LOWEST_BALLOT
@@ -34,7 +34,7 @@
         self.lease_until = 0
 
     def handle_prepare(self, message: Prepare, now: int) -> Promise | None:
-        """Promise to accept no lower ballot, and name the owner of a running lease; None while silent."""
+        """Promise to accept no lower ballot and name the owner of a running lease; return None if silent."""
         if now < self.silent_until:
             return None
         ballot = message.ballot
@@ -45,7 +45,7 @@
         return Promise(requested=ballot, promised=ballot, lease_owner=lease_owner, refused=False)
 
     def handle_propose(self, message: Propose, now: int) -> Accepted | None:
-        """Grant the lease unless a higher ballot was promised; None while silent."""
+        """Grant the lease unless a higher ballot was promised; return None if silent."""
         if now < self.silent_until:
             return None
         ballot = message.ballot
--- a/locktide/cluster/election/participant.py
+++ b/locktide/cluster/election/participant.py
@@ -1,4 +1,4 @@
-"""A member's part in the election of the leader: an acceptor, a proposer, and the dispatch of messages."""
+"""A member's part in the election of the leader: an acceptor, a proposer, and the routing of messages."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class ElectionParticipant:
-    """A member that is configured to vote, and so may become the leader as well.
+    """A member that is configured as an acceptor, and so may become the leader as well.
 
     Attributes:
         acceptor: votes on ballots.
-        proposer: begins ballots of its own.
+        proposer: begins its own ballots.
     """
 
     def __init__(
@@ -23,11 +23,11 @@
         self.proposer = Proposer(member_id, acceptors, generator, now)
 
     def term_as_leader(self, now: int) -> Ballot | None:
-        """Return the term while this member is the leader."""
+        """Return the term while this member is the leader; None otherwise."""
         return self.proposer.term if self.proposer.is_leader(now) else None
 
     def handle(self, sender: str, message: Prepare | Promise | Propose | Accepted, now: int) -> Outgoing:
-        """Vote on another member's ballot, or count a vote on ours."""
+        """Vote on another member's ballot, or count a vote on one of ours; return the messages to send."""
         reply: Promise | Accepted | None = None
         match message:
             case Prepare():
--- a/locktide/cluster/election/proposer.py
+++ b/locktide/cluster/election/proposer.py
@@ -1,9 +1,10 @@
 """Proposer of the leader lease: acquires, renews and resigns it (PaxosLease).
 
-The duration of the lease begins before the first proposal is sent, and each acceptor's after it has accepted,
-so the owner stops first. A lease is renewed by a new ballot while it runs: acceptors that name our own lease
-count as free. A leader keeps its `term`, the ballot with which it acquired the lease, as long as there was no
-gap. The package docstring has the safety argument.
+The owner counts the duration of the lease from before its first proposal is sent, and each acceptor from when
+it has accepted, so the lease ends at the owner first. A lease is renewed by a new ballot while it runs: a
+Promise that names our own lease counts like one that names none. A leader keeps its `term`, the ballot with
+which it acquired the lease, as long as it holds the lease without a gap. The package docstring has the safety
+argument.
 """
 
 from __future__ import annotations
@@ -23,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderLeaseTiming:
-    """Times of the leader lease.
+    """Durations of the leader lease.
 
     Attributes:
-        duration: how long it lasts, in microseconds.
+        duration: how long the lease lasts, in microseconds.
         renew_interval: the longest time between two ballots of its owner, in microseconds.
     """
 
@@ -35,7 +36,7 @@
 
 
 class Proposer:
-    """One candidate for the leader lease. Times are microseconds of its own clock.
+    """A candidate for the leader lease. Times are microseconds of its own clock.
 
     Attributes:
         member_id: name and generation of the candidate.
@@ -44,14 +45,14 @@
         renew_interval: the longest time between two ballots, in microseconds.
         ballot: the last ballot that it has begun.
         highest_seen: the highest ballot that any acceptor has named.
-        promised_by: the acceptors that have promised the ballot.
-        accepted_by: the acceptors that have accepted it.
-        proposal_until: when the proposed lease ends; 0 before its proposals are sent.
-        lease_until: when the lease that it has ends; 0 where it has none.
-        term: the ballot with which it acquired the lease, as long as there was no gap; None while it is not
-            the leader.
-        other_leader_until: before that another member has the lease, as far as is known, and a ballot would
-            fail.
+        promised_by: the acceptors that have promised `ballot`.
+        accepted_by: the acceptors that have accepted `ballot`.
+        proposal_until: when the proposed lease ends; 0 before the proposals are sent.
+        lease_until: when its current lease ends; 0 if it has none.
+        term: the ballot with which it acquired the lease that it has held since without a gap; None while it
+            is not the leader.
+        other_leader_until: time before which another member is presumed to hold the lease, so that a ballot
+            would fail.
         next_prepare_at: when the next ballot begins.
     """
 
@@ -85,7 +86,7 @@
         return len(self.acceptors) // 2 + 1
 
     def is_leader(self, now: int) -> bool:
-        """Return whether the lease is ours; end the term once it has expired."""
+        """Return whether this member holds the lease; end the term once the lease has expired."""
         if now >= self.lease_until:
             self.term = None
         return self.term is not None
@@ -96,12 +97,12 @@
         return self.next_prepare_at
 
     def tick(self, now: int) -> Outgoing:
-        """Begin a ballot where it is time to acquire or renew the lease."""
+        """Begin a ballot if it is time to acquire or renew the lease; return the messages to send."""
         was_leader = self.is_leader(now)
         if now < self.next_prepare_at:
             return []
-        # Random, from a half to a whole interval: proposers that once begin at the same moment would else go
-        # on doing so, and each would void the other's ballot.
+        # A random time from a half to a whole interval. With a fixed interval, proposers that begin a ballot
+        # at the same moment once would do so every time, and each would void the other's ballot.
         half_interval = self.renew_interval // 2
         self.next_prepare_at = now + half_interval + self.generator.below(half_interval)
         if not was_leader and now < self.other_leader_until:
@@ -110,7 +111,7 @@
         return [(name, Prepare(self.ballot)) for name in self.acceptors]
 
     def _begin_ballot(self) -> None:
-        """Choose a ballot higher than any that was seen, with no votes yet."""
+        """Choose a ballot higher than any seen so far, and clear the votes."""
         highest_counter, _, _ = max(self.ballot, self.highest_seen)
         self.ballot = (highest_counter + 1, *self.member_id)
         self.promised_by = set()
@@ -118,7 +119,7 @@
         self.proposal_until = 0
 
     def handle_promise(self, sender: str, message: Promise, now: int) -> Outgoing:
-        """Count a promise; once a majority has promised, propose the lease for ourselves."""
+        """Count a promise; once a majority has promised, propose the lease for this member."""
         self.highest_seen = max(self.highest_seen, message.promised)
         is_current = message.requested == self.ballot and not self.proposal_until
         if not is_current or message.refused or sender not in self.acceptors:
@@ -133,7 +134,7 @@
         return [(name, Propose(self.ballot, self.member_id)) for name in self.acceptors]
 
     def handle_accepted(self, sender: str, message: Accepted, now: int) -> None:
-        """Count an acceptance; once a majority has accepted, the lease is ours."""
+        """Count an acceptance; once a majority has accepted, this member holds the lease."""
         self.highest_seen = max(self.highest_seen, message.promised)
         if message.requested != self.ballot or message.refused or sender not in self.acceptors:
             return
@@ -145,7 +146,7 @@
                 self.term = self.ballot
 
     def resign(self) -> None:
-        """Give the lease up early; what acceptors still count only delays the next leader."""
+        """Give up the lease early; acceptors that still count it only delay the next leader."""
         self.lease_until = 0
         self.term = None
         self.next_prepare_at = NEVER
--- a/locktide/cluster/fairness/__init__.py
+++ b/locktide/cluster/fairness/__init__.py
@@ -1,1 +1,1 @@
-"""Dominant resource fairness over usage that all dispatchers replicate to each other."""
+"""Dominant resource fairness, computed from usage that all dispatchers replicate to each other."""
--- a/locktide/cluster/fairness/anti_entropy.py
+++ b/locktide/cluster/fairness/anti_entropy.py
@@ -1,9 +1,9 @@
 """Anti-entropy between ledgers: reconciliation as in Scuttlebutt.
 
-Some times a second each member sends its digest to two others. A member whose digest differs answers with the
-version up to which it has read each writer, a page of writers at a time, and is sent what it lacks, in the
-order of versions. Changed from the source: a delta states which version it follows, so that a lost or late
-datagram leaves no hole; and closed writers are exchanged along with the versions.
+Several times a second each member sends its digest to two others. A member whose digest differs answers with
+the version up to which it has read each writer, a page of writers at a time, and is sent the rows that it
+lacks in the order of versions. Two things differ from the source: a delta states which version it follows, so
+that a lost or late datagram leaves no gap; and closed writers are exchanged along with the versions.
 
 Source: van Renesse, Dumitriu, Gough and Thomas, "Efficient reconciliation and flow control for anti-entropy
 protocols", LADIS 2008.
@@ -17,23 +17,23 @@
 from locktide.cluster.fairness.replicated_ledger import ReplicatedLedger
 from locktide.cluster.messages import Delta, Digest, LedgerRow, MemberId, Message
 
-#: Writers in one digest, and as many closed ones: with names of sixteen bytes they fit one datagram.
+#: Writers in one digest, and closed writers in addition: with names of sixteen bytes they fit one datagram.
 WRITERS_PER_DIGEST = 24
-#: Sorted after every name.
+#: A string that sorts after every name.
 AFTER_ALL_NAMES = "\U0010ffff"
 
-#: The version up to which each writer was read.
+#: The version up to which each writer has been read.
 Versions = dict[MemberId, int]
 
 
 @dataclass(slots=True)
 class AntiEntropy:
-    """Messages that make a replica and another member's equal.
+    """Builds and handles the messages that reconcile this member's replica with another member's.
 
     Attributes:
         replica: this member's replica.
-        schema_checksum: checksum of the names of tenants and resources: where it is the same, both sides
-            number them alike.
+        schema_checksum: checksum of the names of tenants and resources; members with equal checksums have
+            equal indices for them.
         cursor: the last writer's name on the previous page.
     """
 
@@ -42,7 +42,7 @@
     cursor: str = ""
 
     def opening_digest(self) -> Message:
-        """Return the digest alone: mostly the other has the same, and nothing more is needed."""
+        """Return a message with the digest alone; mostly the receiver's is equal, and no answer is needed."""
         return Digest(
             schema_checksum=self.schema_checksum,
             digest=self.replica.digest,
@@ -54,17 +54,17 @@
         )
 
     def handle_digest(self, digest: Digest) -> list[Message]:
-        """Return the answers: a page of versions, or what the other lacks and our versions of that page."""
+        """Return the answers: a page of versions, or the rows that the other lacks and our own versions."""
         if digest.schema_checksum != self.schema_checksum or digest.digest == self.replica.digest:
             return []
-        for name, start, version in digest.closed:
-            self.replica.close(name, (start, version))
+        for name, generation, version in digest.closed:
+            self.replica.close(name, (generation, version))
         is_opening = not digest.up_to_name
         if is_opening:
             return [self.next_page(reply_expected=True)]
         after = digest.after_name
         up_to = digest.up_to_name
-        versions = {(name, start): version for name, start, version in digest.versions}
+        versions = {(name, generation): version for name, generation, version in digest.versions}
         answers: list[Message] = list(self.deltas_after(self.writers_between(after, up_to), versions))
         is_behind = any(version > self.replica.read_version(writer) for writer, version in versions.items())
         closed_differ = self.closed_between(after, up_to) != sorted(digest.closed)
@@ -73,16 +73,16 @@
         return answers
 
     def writers_between(self, after: str, up_to: str) -> list[MemberId]:
-        """Return the writers with names after `after` up to `up_to`, sorted."""
+        """Return the sorted writers whose names are after `after` and up to `up_to`."""
         return sorted(writer for writer in self.replica.writers if after < writer[0] <= up_to)
 
     def closed_between(self, after: str, up_to: str) -> list[tuple[str, int, int]]:
-        """Return what is closed of the writers with names after `after` up to `up_to`, sorted."""
+        """Return the sorted closed writers whose names are after `after` and up to `up_to`."""
         closed = self.replica.closed
         return sorted((name, *closed[name]) for name in closed if after < name <= up_to)
 
     def next_page(self, reply_expected: bool) -> Message:
-        """Return the versions of the next page of writers, by name; after the last page the first one."""
+        """Return the versions of the next page of writers by name; the first page follows the last one."""
         writers = self.replica.writers
         names = sorted({writer[0] for writer in writers} | self.replica.closed.keys())
         remaining = [name for name in names if name > self.cursor]
@@ -99,7 +99,7 @@
         return self.digest_between(after, up_to, reply_expected)
 
     def digest_between(self, after: str, up_to: str, reply_expected: bool) -> Message:
-        """Return the versions of the writers with names after `after` up to `up_to`."""
+        """Return a digest with the versions of writers whose names are after `after` and up to `up_to`."""
         versions = [
             (*writer, self.replica.read_version(writer)) for writer in self.writers_between(after, up_to)
         ]
@@ -114,7 +114,7 @@
         )
 
     def deltas_after(self, writers: list[MemberId], versions: Versions) -> list[Delta]:
-        """Return what a member that has read up to `versions` lacks, as far as some datagrams reach."""
+        """Return the rows of the writers after `versions`, as many as fit the datagrams of one answer."""
         packer = DeltaPacker(self.schema_checksum)
         for writer in writers:
             after_version = versions.get(writer, 0)
@@ -123,11 +123,11 @@
         return packer.finish()
 
     def deltas_of(self, writer: MemberId, written: list[LedgerRow], after_version: int) -> list[Delta]:
-        """Return what this member has just written, to be sent at once."""
+        """Return the rows that this member has just written, so that they are sent at once."""
         return self.deltas_after([writer], {writer: after_version}) if written else []
 
     def handle_delta(self, delta: Delta) -> bool:
-        """Merge the rows of all writers; return whether anything has changed."""
+        """Merge the rows of all writers in the delta; return whether anything has changed."""
         if delta.schema_checksum != self.schema_checksum:
             return False
         return any([self.replica.merge(writer_delta) for writer_delta in delta.writer_deltas])
--- a/locktide/cluster/fairness/delta_packer.py
+++ b/locktide/cluster/fairness/delta_packer.py
@@ -1,14 +1,14 @@
-"""Packs ledger rows into as few datagrams as they fit in, up to a number of datagrams."""
+"""Packs ledger rows into as few datagrams as possible, up to a limit of datagrams."""
 
 from __future__ import annotations
 
 from locktide.cluster.messages import MAX_DATAGRAM, Delta, LedgerRow, MemberId, WriterDelta, encoded_size
 
-#: Bytes of a datagram beside its rows: checksum, sender, and the fields of a Delta.
+#: Bytes of a datagram in addition to its rows: checksum, sender, and the fields of a Delta.
 ENVELOPE_BYTES = 150
 #: Bytes for rows in one datagram.
 MAX_ROW_BYTES = MAX_DATAGRAM - ENVELOPE_BYTES
-#: Datagrams of rows in one answer; the next exchange continues from there.
+#: Datagrams of rows in one answer; the next exchange sends the rows after them.
 MAX_DELTAS = 4
 
 
@@ -19,7 +19,7 @@
         schema_checksum: checksum of the names of tenants and resources.
         deltas: the full datagrams.
         writer_deltas: the rows of the datagram that is being filled.
-        used: their size in bytes.
+        used: the size of those rows in bytes.
     """
 
     def __init__(self, schema_checksum: int) -> None:
@@ -29,7 +29,7 @@
         self.used = 0
 
     def add(self, writer: MemberId, after_version: int, rows: list[LedgerRow]) -> bool:
-        """Add what the writer wrote after a version; return whether all of it fitted."""
+        """Add the rows that the writer wrote after a version; return whether all of them fitted."""
         group = WriterDelta(*writer, after_version, [])
         for row in rows:
             size = encoded_size(row) + (0 if group.rows else encoded_size(group))
--- a/locktide/cluster/fairness/ledger.py
+++ b/locktide/cluster/fairness/ledger.py
@@ -1,7 +1,8 @@
 """One member's part in the fairness ledger.
 
-It writes its own rows, exchanges all rows, closes dead writers and computes the standing. No I/O: messages
-and time in, messages out. Times are whole microseconds of the member's own clock.
+It writes the member's own rows, exchanges all rows, closes dead writers and computes the standing. It does no
+I/O: its inputs are messages and the time, its outputs messages. Times are whole microseconds of the member's
+own clock.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 
 #: Time between two rounds of anti-entropy, in microseconds.
 ROUND_INTERVAL = 250_000
-#: Members that are sent the digest in each round. A change reaches nine members within four rounds and fifty
-#: within six.
+#: Members to which the digest is sent in each round. A change reaches nine members within four rounds and
+#: fifty within six.
 PEERS_PER_ROUND = 2
-#: Least time between two writings of our own rows, and between two computations of the standing, in
+#: Shortest time between two writes of the member's own rows, and between two computations of the standing, in
 #: microseconds.
 WRITE_INTERVAL = 250_000
-#: Rows that all members together write in a second at most, as each row is sent to all: with many members or
-#: tenants each one writes less often.
+#: Most rows that all members together write in a second, as each row is sent to all members. With many
+#: members or tenants each member writes less often.
 ROWS_PER_SECOND = 300
 #: Time between two searches for dead writers, in microseconds.
 CLOSING_INTERVAL = 1_000_000
@@ -37,14 +38,14 @@
 
 @dataclass(frozen=True)
 class FairnessConfig:
-    """Configuration of the ledger, the same at all members.
+    """Configuration of the ledger, which is the same at all members.
 
     Attributes:
         resources: the names of the resources; vectors have an amount of each, in thousandths.
         weights: the weight of each tenant, in thousandths.
-        needs: what a job of each service class needs for each slot of its width.
-        worker_capacity: what each worker has.
-        max_job_time: the time after which no job of a dispatcher that died is left, in microseconds.
+        needs: the needs of a job of each service class for each slot of its width.
+        worker_capacity: the capacity of each worker.
+        max_job_time: how long a job of a dispatcher that died may still run, in microseconds.
     """
 
     resources: list[str]
@@ -60,27 +61,27 @@
     Attributes:
         config: the configuration.
         member_id: name and generation of this member.
-        random: the source of random choices.
+        generator: the source of random choices.
         tenants: the names of the tenants in the order of their indices.
         weights: the weight of each tenant by its index.
-        usage: what tenants use through this dispatcher.
+        usage: the tenants' usage through this dispatcher.
         replica: the rows of all members.
-        anti_entropy: the exchange of rows.
-        version: the version of the last row that was written here.
+        anti_entropy: the exchange of rows with other members.
+        version: the version of the last row that this member wrote.
         next_round_at: when the next round of anti-entropy is due.
-        next_write_at: when our own rows are written next.
-        next_closing_at: when dead writers are searched for next.
-        next_recompute_at: when the standing is computed next.
-        gone_since: since when each writer counts as dead.
-        standing: the standing by the rows at the last computation.
+        next_write_at: when this member's own rows are next written.
+        next_closing_at: when dead writers are next searched for.
+        next_recompute_at: when the standing is next computed.
+        dead_since: since when each dead writer counts as dead.
+        standing: the standing computed last.
     """
 
     def __init__(
-        self, config: FairnessConfig, member_id: MemberId, random: LinearCongruentialGenerator, now: int
+        self, config: FairnessConfig, member_id: MemberId, generator: LinearCongruentialGenerator, now: int
     ) -> None:
         self.config = config
         self.member_id = member_id
-        self.random = random
+        self.generator = generator
         self.tenants = sorted(config.weights)
         self.weights = {index: config.weights[name] for index, name in enumerate(self.tenants)}
         tenant_indices = {name: index for index, name in enumerate(self.tenants)}
@@ -93,20 +94,20 @@
         self.next_write_at = now
         self.next_closing_at = now
         self.next_recompute_at = now
-        self.gone_since: dict[MemberId, int] = {}
+        self.dead_since: dict[MemberId, int] = {}
         self.standing = FairnessStanding()
 
     @property
     def due(self) -> int:
-        """When `tick` is to be called next."""
+        """When `tick` has to be called next."""
         return min(self.next_round_at, self.next_write_at, self.next_closing_at, self.next_recompute_at)
 
-    def tick(self, alive: list[str], starts: dict[str, int], now: int) -> Outgoing:
-        """Do what is due; return the messages to send.
+    def tick(self, alive: list[str], generations: dict[str, int], now: int) -> Outgoing:
+        """Perform the work that is due, and return the messages to send.
 
         Args:
             alive: the names of the members that are alive or suspected.
-            starts: the generation of the latest known process of each name.
+            generations: the generation of the latest known process of each name.
             now: the time.
         """
         outgoing: Outgoing = []
@@ -121,23 +122,23 @@
             outgoing += [(name, self.anti_entropy.opening_digest()) for name in self._choose_peers(peers)]
         if now >= self.next_closing_at:
             self.next_closing_at = now + CLOSING_INTERVAL
-            self._close_dead_writers(set(alive), starts, now)
+            self._close_dead_writers(set(alive), generations, now)
         if now >= self.next_recompute_at:
             self.next_recompute_at = now + WRITE_INTERVAL
             self._recompute()
         return outgoing
 
     def handle(self, sender: str, message: Digest | Delta) -> Outgoing:
-        """Take in a message of another member; return the answers."""
+        """Process a message of another member, and return the answers."""
         if isinstance(message, Delta):
             self.anti_entropy.handle_delta(message)
             return []
         return [(sender, answer) for answer in self.anti_entropy.handle_digest(message)]
 
     def _choose_peers(self, peers: list[str]) -> list[str]:
-        left = list(peers)
-        count = min(PEERS_PER_ROUND, len(left))
-        return [left.pop(self.random.below(len(left))) for _ in range(count)]
+        remaining = list(peers)
+        count = min(PEERS_PER_ROUND, len(remaining))
+        return [remaining.pop(self.generator.below(len(remaining))) for _ in range(count)]
 
     # --- own rows
 
@@ -150,11 +151,11 @@
         return outgoing
 
     def _write_rows(self) -> list[LedgerRow]:
-        """Write rows that have changed, and all of them where others have closed what was written."""
+        """Write the rows that have changed, or all rows if another member has closed them; return them."""
         writer_rows = self.replica.writers.get(self.member_id)
-        start, closed_version = self.replica.closed.get(self.member_id[0], NOT_CLOSED)
-        if start == self.member_id[1]:
-            self.version = max(self.version, closed_version)  # the others declared this process dead
+        generation, closed_version = self.replica.closed.get(self.member_id[0], NOT_CLOSED)
+        if generation == self.member_id[1]:
+            self.version = max(self.version, closed_version)  # others have declared this process dead
         written = []
         for index, (in_use, waiting) in sorted(self._current_amounts().items()):
             previous = writer_rows.rows.get(index) if writer_rows is not None else None
@@ -166,7 +167,7 @@
         return written
 
     def _current_amounts(self) -> dict[int, tuple[Vector, Vector]]:
-        """Return what is in use and what waits, by row index, and the capacity as it is seen here."""
+        """Return the amounts in use and waiting by row index, and the capacity that this member sees."""
         usage = self.usage
         none = [0] * len(self.config.resources)
         amounts = {CAPACITY_INDEX: (usage.capacity(), none)}
@@ -176,24 +177,25 @@
 
     # --- dead writers
 
-    def _close_dead_writers(self, alive: set[str], starts: dict[str, int], now: int) -> None:
-        """Close the rows of processes that are gone, once their jobs must have ended.
+    def _close_dead_writers(self, alive: set[str], generations: dict[str, int], now: int) -> None:
+        """Close the rows of dead processes once all their jobs must have ended.
 
-        They are closed for all members as soon as for any. A process that lives all the same writes its rows
-        anew.
+        Rows that one member closes are closed for all members. A process that was declared dead but still
+        runs writes its rows again.
         """
         writers = self.replica.writers
-        gone = {
+        dead = {
             writer
             for writer in writers
-            if writer != self.member_id and (writer[0] not in alive or starts.get(writer[0], 0) > writer[1])
+            if writer != self.member_id
+            and (writer[0] not in alive or generations.get(writer[0], 0) > writer[1])
         }
-        self.gone_since = {writer: self.gone_since.get(writer, now) for writer in gone}
-        for writer in sorted(gone):
-            name, start = writer
-            has_older = any(other[0] == name and other[1] < start for other in writers)
-            if now >= self.gone_since[writer] + self.config.max_job_time and not has_older:
-                self.replica.close(name, (start, self.replica.read_version(writer)))
+        self.dead_since = {writer: self.dead_since.get(writer, now) for writer in dead}
+        for writer in sorted(dead):
+            name, generation = writer
+            has_older = any(other[0] == name and other[1] < generation for other in writers)
+            if now >= self.dead_since[writer] + self.config.max_job_time and not has_older:
+                self.replica.close(name, (generation, self.replica.read_version(writer)))
 
     # --- standing
 
--- a/locktide/cluster/fairness/replicated_ledger.py
+++ b/locktide/cluster/fairness/replicated_ledger.py
@@ -1,8 +1,9 @@
 """One member's replica of the ledger: rows by writer and index, each with a version, and closed writers.
 
-A writer is one process of a dispatcher; it writes rows of its own only. Of two versions of a row the later
-counts, and a writer's name is closed up to a start and a version: both are maxima, so merging is commutative,
-associative and idempotent. Equal digests mean the same rows, but for a chance of one in 2^64.
+A writer is one process of a dispatcher; it writes only its own rows. Of two versions of a row the later one
+counts, and a writer's name is closed up to a generation and a version. Merging takes the maximum of both, so
+it is commutative, associative and idempotent. Equal digests mean equal rows, except with a probability of one
+in 2^64.
 """
 
 from __future__ import annotations
@@ -18,16 +19,17 @@
 ENCODER = msgspec.msgpack.Encoder()
 CHECKSUM_BYTES = 8
 CHECKSUM_MODULUS = 1 << (8 * CHECKSUM_BYTES)
-#: The index of a row that has the capacities that its writer sees; tenants have indices up to the other.
+#: The index of the row with the capacities that its writer sees; the rows of tenants have indices up to
+#: `MAX_TENANT_INDEX`.
 CAPACITY_INDEX = 65_535
 MAX_TENANT_INDEX = 255
-#: Writers that are known at most: four times the largest fleet in mind. A faulty peer that names writers
-#: without end would else fill the memory.
+#: Most writers that are kept: four times the largest expected fleet. Without a limit, a faulty peer that
+#: names ever new writers would fill the memory.
 MAX_WRITERS = 4096
 #: Later than every version that is written.
-NOTHING_COUNTS = 1 << 62
+AFTER_ALL_VERSIONS = 1 << 62
 
-#: A generation and a version of it up to which rows are closed; earlier generations are closed as a whole.
+#: A generation, and the version of it up to which rows are closed; earlier generations are closed entirely.
 ClosedUpTo = tuple[int, int]
 NOT_CLOSED: ClosedUpTo = (0, 0)
 
@@ -39,10 +41,10 @@
 
 @dataclass(slots=True)
 class WriterRows:
-    """One writer's rows.
+    """The rows of one writer.
 
     Attributes:
-        version: all that was written up to this version is in the rows, or superseded by a later row.
+        version: all rows written up to this version are in `rows` or superseded by a later row there.
         rows: the latest row of each index.
     """
 
@@ -53,15 +55,15 @@
 class ReplicatedLedger:
     """Rows of all writers, with their digest and the sums over them.
 
-    The sums are brought up to date with each row: recomputing them from thousands of rows some times a second
-    would cost more than all else.
+    The sums are updated with each row: recomputing them from thousands of rows several times a second would
+    cost more than all other work.
 
     Attributes:
         writers: the rows of each writer.
-        closed: up to where the rows of each name are closed.
-        digest: a checksum of all rows and closed names, the same for the same ones.
-        in_use: what each tenant uses, by its index, in thousandths.
-        waiting: what the waiting requests of each tenant need, in the same form.
+        closed: the generation and version up to which the rows of each name are closed.
+        digest: a checksum of all rows and closed names, independent of their order of arrival.
+        in_use: the amounts that each tenant uses, by its index, in thousandths.
+        waiting: the needs of the waiting requests of each tenant, in the same form.
         seen_capacities: the capacity that each writer sees.
     """
 
@@ -73,20 +75,20 @@
         self.waiting: dict[int, Vector] = {}
         self.seen_capacities: dict[MemberId, Vector] = {}
 
-    # --- what counts
+    # --- queries
 
     def is_closed(self, writer: MemberId, version: int) -> bool:
-        """Return whether the writer's rows of that version count no more."""
+        """Return whether the writer's rows of that version are closed and no longer count."""
         return (writer[1], version) <= self.closed.get(writer[0], NOT_CLOSED)
 
     def read_version(self, writer: MemberId) -> int:
-        """Return the version up to which all that the writer wrote is known here."""
-        start, version = self.closed.get(writer[0], NOT_CLOSED)
-        if writer[1] < start:
-            return NOTHING_COUNTS
+        """Return the version up to which all rows that the writer wrote are known or closed here."""
+        generation, version = self.closed.get(writer[0], NOT_CLOSED)
+        if writer[1] < generation:
+            return AFTER_ALL_VERSIONS
         writer_rows = self.writers.get(writer)
         known_version = writer_rows.version if writer_rows else 0
-        closed_version = version if writer[1] == start else 0
+        closed_version = version if writer[1] == generation else 0
         return max(known_version, closed_version)
 
     def rows(self) -> list[tuple[MemberId, LedgerRow]]:
@@ -96,7 +98,7 @@
         ]
 
     def rows_after(self, writer: MemberId, after_version: int) -> list[LedgerRow]:
-        """Return what the writer wrote after that version, in the order of versions."""
+        """Return the current rows that the writer wrote after that version, in the order of versions."""
         writer_rows = self.writers.get(writer)
         if writer_rows is None:
             return []
@@ -106,11 +108,11 @@
     # --- merging
 
     def merge(self, delta: WriterDelta) -> bool:
-        """Take in what a writer wrote after a version, unless rows before that are missing here.
+        """Merge rows that a writer wrote after a version, unless earlier rows are missing here.
 
         Returns whether anything has changed.
         """
-        writer = (delta.name, delta.start)
+        writer = (delta.name, delta.generation)
         if delta.after_version > self.read_version(writer):
             return False
         changed = False
@@ -119,7 +121,7 @@
         return changed
 
     def put(self, writer: MemberId, row: LedgerRow) -> bool:
-        """Take in a row, unless it is closed or superseded; return whether it was taken."""
+        """Store a row unless it is closed, superseded or beyond a limit; return whether it was stored."""
         if self.is_closed(writer, row.version):
             return False
         if row.index > MAX_TENANT_INDEX and row.index != CAPACITY_INDEX:
@@ -138,7 +140,7 @@
         return True
 
     def close(self, name: str, up_to: ClosedUpTo) -> bool:
-        """Drop the rows of the name up to a start and version, for good; return whether that was new."""
+        """Drop the name's rows up to a generation and version for good; return whether that was new."""
         previous = self.closed.get(name, NOT_CLOSED)
         is_full = name not in self.closed and len(self.closed) >= MAX_WRITERS
         if up_to <= previous or is_full:
@@ -188,7 +190,7 @@
 
 
 def agreed_capacity(replica: ReplicatedLedger, resource_count: int) -> Vector:
-    """Return the capacities that count: of each resource the lower median of what open writers see."""
+    """Return the agreed capacity of each resource: the lower median of the capacities that writers see."""
     seen = [amounts for amounts in replica.seen_capacities.values() if len(amounts) == resource_count]
     if not seen:
         return [0] * resource_count
@@ -198,7 +200,7 @@
 def tenant_totals(
     replica: ReplicatedLedger, resource_count: int
 ) -> tuple[dict[int, Vector], dict[int, Vector]]:
-    """Return what each tenant uses, and what it demands (that and what waits), over all writers."""
+    """Return each tenant's use, and its demand (use plus waiting needs), summed over all writers."""
     in_use = {tenant: _padded(amounts, resource_count) for tenant, amounts in replica.in_use.items()}
     waiting = {tenant: _padded(replica.waiting.get(tenant, []), resource_count) for tenant in in_use}
     demand = {
--- a/locktide/cluster/fairness/standing.py
+++ b/locktide/cluster/fairness/standing.py
@@ -1,4 +1,4 @@
-"""What follows from the ledger's rows: each tenant's share, its fair share, and who has more than that."""
+"""The standing computed from the ledger's rows: each tenant's share, its fair share, and who exceeds it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,16 @@
 
 @dataclass(frozen=True)
 class FairnessStanding:
-    """What follows from one digest, the same at every member. Shares are in parts of `dominant_share.ONE`.
+    """The standing of all tenants, the same at every member with the same rows.
+
+    Shares are in parts of `dominant_share.FULL_SHARE`.
 
     Attributes:
-        digest: the digest of the rows that it was computed from.
-        order: the tenants, the one with the least share for its weight first.
+        digest: the digest of the rows from which it was computed.
+        order: the tenants by share relative to their weight, the smallest first.
         dominant_shares: the dominant share of each tenant.
-        fair_shares: the dominant share that each tenant should have.
-        contended: whether any tenant has less than it demands.
+        fair_shares: the fair dominant share of each tenant.
+        contended: whether any tenant's fair share is less than it demands.
         over_share: the tenants with more than their fair share, while the fleet is contended.
     """
 
@@ -53,9 +55,10 @@
 
 
 def _by_weighted_share(shares: dict[int, int], weights: dict[int, int]) -> list[int]:
-    """Return tenants by their share for the weight, and by name where these are equal.
+    """Return tenants by their share relative to their weight, and by index where these are equal.
 
-    Shares are multiplied by a common multiple of the weights, so that dividing by one leaves no fraction.
+    Shares are multiplied by a common multiple of the weights, so that dividing by a weight leaves no
+    fraction.
     """
     common_multiple = prod(set(weights.values()))
 
--- a/locktide/cluster/fairness/usage.py
+++ b/locktide/cluster/fairness/usage.py
@@ -1,4 +1,4 @@
-"""What tenants use through this dispatcher and what waits here, from its events and commands."""
+"""Tracks what tenants use through this dispatcher and what waits here, from its events and commands."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
     Attributes:
         tenant_index: the index of its tenant.
-        needs: what it needs of each resource, in thousandths.
-        running: how many attempts have no outcome.
+        needs: the amount of each resource that it needs, in thousandths.
+        running: how many of its attempts have no outcome yet.
         answered: whether the request has its response.
     """
 
@@ -32,17 +32,17 @@
 
 
 class UsageTracker:
-    """Sums of needs by tenant; all amounts are in thousandths.
+    """Keeps sums of needs by tenant; all amounts are in thousandths.
 
     Attributes:
         tenant_indices: the index of each tenant.
-        needs: what a request of each service class needs for each slot of its width.
-        worker_capacity: what each worker has.
-        open_requests: the requests that wait or may be running, by their id.
-        ready_workers: the workers that the endpoint list has as ready.
-        in_use: what each tenant uses, by its index.
-        waiting: what the waiting requests of each tenant need.
-        handlers: what takes in each type of event or command.
+        needs: the needs of a request of each service class for each slot of its width.
+        worker_capacity: the capacity of each worker.
+        open_requests: the requests that wait or may be running, by their ids.
+        ready_workers: the workers that are ready according to the endpoint list.
+        in_use: the amounts that each tenant uses, by its index.
+        waiting: the needs of the waiting requests of each tenant.
+        handlers: the handler of each type of event or command.
     """
 
     def __init__(
@@ -59,8 +59,8 @@
             RequestArrived: self._on_arrival,
             StartAttempt: self._on_attempt_started,
             AttemptEnded: self._on_attempt_ended,
-            # No command follows a disconnect: without this a request whose client has left would count as
-            # waiting for ever.
+            # No command follows the disconnect of a client: without this handler its request would count as
+            # waiting forever.
             ClientDisconnected: self._on_answered,
             RejectRequest: self._on_answered,
             FailRequest: self._on_answered,
@@ -68,7 +68,7 @@
         }
 
     def observe(self, event_or_command: Any) -> None:
-        """Take in an event or a command of the scheduler, in the order in which they come about."""
+        """Process an event or a command of the scheduler; they must be passed in the order they occur."""
         if (handler := self.handlers.get(type(event_or_command))) is not None:
             handler(event_or_command)
 
@@ -111,7 +111,7 @@
             del self.open_requests[event.request_id]
 
     def _on_answered(self, event: Answered) -> None:
-        """Note that a request has its response; attempts that still run count until they have ended."""
+        """Record that a request has its response; its running attempts count until they have ended."""
         usage = self.open_requests.get(event.request_id)
         if usage is None or usage.answered:
             return
--- a/locktide/cluster/inspection.py
+++ b/locktide/cluster/inspection.py
@@ -1,6 +1,6 @@
 """Renders a member's view of the cluster as plain values, for `locktide cluster show`.
 
-The keys are part of the JSON that the command prints, and stay as they are.
+The keys are part of the JSON that the command prints, so they must not change.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def inspect(member: ClusterMember, now: int) -> dict[str, object]:
-    """Return what this member knows of the cluster, its quotas and its ledger."""
+    """Return this member's view of the cluster, its quotas and its fairness ledger."""
     is_leader = member.election is not None and member.election.term_as_leader(now) is not None
     lease_holder, local_quota = member.lease_holder, member.local_quota
     held = lease_holder.current_shares(now)
@@ -32,7 +32,7 @@
 
 
 def inspect_record(record: MemberRecord) -> dict[str, object]:
-    """Return one member's record."""
+    """Return a member's record as plain values."""
     return {
         "name": record.name,
         "start": record.generation,
@@ -43,7 +43,7 @@
 
 
 def inspect_ledger(member: ClusterMember) -> dict[str, object]:
-    """Return the standing of the fairness ledger; empty where there is none."""
+    """Return the standing of the fairness ledger; empty if the member has no ledger."""
     if member.ledger is None:
         return {}
     standing = member.ledger.standing
--- a/locktide/cluster/inspection_client.py
+++ b/locktide/cluster/inspection_client.py
@@ -9,18 +9,18 @@
 from locktide.cluster.messages import InspectionPage, InspectionRequest, decode, encode
 
 REQUEST_ID = 1
-ANONYMOUS = ("", 0)  # the sender of a request is no member
+ANONYMOUS = ("", 0)  # the sender of an inspection request is not a member
 
 
 class InspectionClient(asyncio.DatagramProtocol):
-    """Collects the pages of one answer; `answer` is their JSON text."""
+    """Collects the pages of one answer; `answer` resolves to their joined JSON text."""
 
     def __init__(self, answer: asyncio.Future[str]) -> None:
         self.answer = answer
         self.pages: dict[int, str] = {}
 
     def datagram_received(self, data: bytes, _: object) -> None:
-        """Keep a page, and complete the answer with the last one."""
+        """Store a page; complete the answer once all pages have arrived."""
         envelope = decode(data)
         if envelope is None or not isinstance(envelope.message, InspectionPage) or self.answer.done():
             return
@@ -30,7 +30,7 @@
             self.answer.set_result("".join(self.pages[index] for index in sorted(self.pages)))
 
     def error_received(self, error: Exception) -> None:
-        """Fail at once where nobody listens at the address."""
+        """Fail the answer at once if nobody listens at the address."""
         if not self.answer.done():
             self.answer.set_exception(error)
 
@@ -40,8 +40,8 @@
 
     Raises:
         OSError: nobody listens there.
-        TimeoutError: no complete answer came in time.
-        ValueError: the answer is no JSON.
+        TimeoutError: no complete answer arrived in time.
+        ValueError: the answer is not JSON.
     """
     loop = asyncio.get_running_loop()
     answer: asyncio.Future[str] = loop.create_future()
--- a/locktide/cluster/leadership.py
+++ b/locktide/cluster/leadership.py
@@ -1,4 +1,4 @@
-"""What a member does while it is the leader: it keeps an allocator and answers lease requests."""
+"""The duties of a member while it is the leader: it runs an allocator and answers lease requests."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from locktide.cluster.quota.types import QuotaShares
 from locktide.cluster.quota_names import QuotaNames
 
-#: Time between two heartbeats of a leader, in microseconds: members that lost one hear the next before their
-#: leases end.
+#: Time between two heartbeats of a leader, in microseconds. It is short enough that a member that missed one
+#: receives the next before its leases expire.
 HEARTBEAT_INTERVAL = REQUEST_INTERVAL
 
 
 class Leadership:
-    """Follows the election; times are microseconds of the member's clock.
+    """Follows the election, and leads while this member is elected; times are microseconds of its clock.
 
     Attributes:
         allocator: the allocator of the term in which this member is the leader; None while it is not.
-        next_heartbeat_at: when the next heartbeats are due, while it is the leader.
+        next_heartbeat_at: when the next heartbeats are due while this member is the leader.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         local_quota: LocalQuota,
         now: int,
     ) -> None:
-        """`election` is None for a member that is no acceptor: it never leads."""
+        """`election` is None for a member that is not an acceptor and so never becomes the leader."""
         self.config = config
         self.election = election
         self.quota_names = quota_names
@@ -45,7 +45,7 @@
         self.next_heartbeat_at = now
 
     def follow_election(self, now: int) -> None:
-        """Begin with a new allocator once this member is the leader, and drop it when it is so no more."""
+        """Create an allocator when this member becomes the leader, and drop it when its term ends."""
         term = self.election.term_as_leader(now) if self.election is not None else None
         if term is None:
             self.allocator = None
@@ -54,21 +54,21 @@
             self.next_heartbeat_at = now
 
     def set_borrowing_order(self, tenants: list[str]) -> None:
-        """State in which order tenants borrow, if this member is the leader."""
+        """Set the order in which tenants borrow, if this member is the leader."""
         if self.allocator is not None:
             self.allocator.set_borrowing_order(self.quota_names.known_indices(tenants))
 
     def take_due_heartbeat(self, now: int) -> Ballot | None:
-        """Return the term of the heartbeats that are due, which count as sent; None where none are."""
+        """Return the term if heartbeats are due, and count them as sent; return None otherwise."""
         if self.allocator is None or now < self.next_heartbeat_at:
             return None
         self.next_heartbeat_at = now + HEARTBEAT_INTERVAL
         return self.allocator.term
 
     def answer(self, sender: MemberId, request: LeaseRequest, now: int) -> Outgoing:
-        """Return the revocations that follow from a lease request, and the grant.
+        """Return the revocations that a lease request causes, and the grant.
 
-        A request of another term, or of a member that has other quotas configured, is not answered.
+        A request of another term, or of a member whose configured quotas differ, is not answered.
         """
         allocator = self.allocator
         if allocator is None or request.term != allocator.term:
--- a/locktide/cluster/member.py
+++ b/locktide/cluster/member.py
@@ -1,7 +1,8 @@
-"""One cluster member without I/O: messages and time in, messages and updates out.
+"""One cluster member without I/O: its inputs are messages and the time, its outputs messages and updates.
 
-A host calls `handle` with each message that arrives and `tick` at `next_wakeup`, and sends what they return.
-After each call `update` states what has changed. All times are whole microseconds of one clock of the host.
+A host calls `handle` with each message that arrives and `tick` at `next_wakeup`, and sends the messages that
+they return. After each call `update` holds the changes. All times are whole microseconds of one clock of the
+host.
 """
 
 from __future__ import annotations
@@ -36,22 +37,22 @@
 
 
 class ClusterMember:
-    """Joins membership, leader election, quota leases and the fairness ledger of one member.
+    """Combines membership, leader election, quota leases and the fairness ledger of one member.
 
     Attributes:
         config: the configuration of this member.
         member_id: its name and generation.
-        swim: membership: who is alive, and where.
-        election: its part in the election of the leader; None for a member that is no acceptor.
-        leadership: what it does while it is the leader.
+        swim: the membership: which members are alive, and their addresses.
+        election: its part in the election of the leader; None for a member that is not an acceptor.
+        leadership: its duties while it is the leader.
         lease_holder: the leases that it requests and holds.
-        local_quota: what it may spend of each quota by these leases.
+        local_quota: how much of each quota it may spend under these leases.
         quota_names: indices of the quotas in messages.
-        quota_client: what requests leases and puts them in force.
-        ledger: the fairness ledger; None where none is configured.
-        tenants_over_share: tenants that hold more than their fair shares, by the ledger.
-        stepped_down: whether a later process of its name runs, so that this one has stopped for good.
-        update: what the last call has changed.
+        quota_client: requests leases and puts them in force.
+        ledger: the fairness ledger; None if none is configured.
+        tenants_over_share: tenants that hold more than their fair shares according to the ledger.
+        stepped_down: whether this process has stopped for good because a later process of its name runs.
+        update: the changes made by the last call.
     """
 
     def __init__(self, config: ClusterConfig, now: int) -> None:
@@ -75,12 +76,12 @@
         self.tenants_over_share: frozenset[str] = frozenset()
         self.stepped_down = False
         self.update = MemberUpdate()
-        # Messages to ourselves, which are handled at the end of the step.
+        # Messages from this member to itself, handled at the end of the step.
         self._loopback: list[Message] = []
 
     @property
     def allocator(self) -> Allocator | None:
-        """The allocator while this member is the leader."""
+        """The allocator while this member is the leader; None otherwise."""
         return self.leadership.allocator
 
     # --- time
@@ -100,19 +101,19 @@
         return min(times + self.quota_client.expiries)
 
     def tick(self, now: int) -> Outgoing:
-        """Do what is due, and return the messages to send."""
+        """Perform the work that is due, and return the messages to send."""
         self.update = MemberUpdate()
         outgoing = self.swim.tick(now)
         if not self.stepped_down:
             if self.election is not None:
                 outgoing += self._address_all(self.election.proposer.tick(now))
-            outgoing += self._lead(now)
+            outgoing += self._update_leadership(now)
             outgoing += self._request_lease(now)
             outgoing += self._tick_ledger(now)
         return self._finish_step(outgoing, now)
 
-    def _lead(self, now: int) -> Outgoing:
-        """Follow the election, and return the heartbeats to the members alive that are due."""
+    def _update_leadership(self, now: int) -> Outgoing:
+        """Follow the election; return the heartbeats to all live members if they are due."""
         self.leadership.follow_election(now)
         if self.ledger is not None:
             self.leadership.set_borrowing_order(self.ledger.standing.order)
@@ -122,12 +123,12 @@
         return self._address_all([(name, LeaderHeartbeat(term)) for name in self.swim.alive()])
 
     def _request_lease(self, now: int) -> Outgoing:
-        """Return the next lease request where it is due."""
+        """Return the next lease request if it is due."""
         request = self.quota_client.next_request(now)
         return self._address_to_leader(request) if request is not None else []
 
     def _tick_ledger(self, now: int) -> Outgoing:
-        """Do what is due in the fairness ledger."""
+        """Perform the work that is due in the fairness ledger, and return the messages to send."""
         if self.ledger is None:
             return []
         records = self.swim.view.table.records
@@ -137,7 +138,7 @@
     # --- messages
 
     def handle(self, envelope: Envelope, now: int) -> Outgoing:
-        """Take in a message, and return the messages to send."""
+        """Process a message, and return the messages to send."""
         self.update = MemberUpdate()
         outgoing = self.swim.handle(envelope, now)
         if not self.stepped_down:
@@ -145,7 +146,7 @@
         return self._finish_step(outgoing, now)
 
     def _dispatch(self, sender: MemberId, message: Message, now: int) -> Outgoing:
-        """Take in a message on election, quotas or fairness; others are ignored."""
+        """Process a message on election, quotas or fairness; ignore any other."""
         match message:
             case Digest() | Delta():
                 return self._handle_fairness(sender[0], message)
@@ -158,7 +159,7 @@
         return []
 
     def _handle_fairness(self, sender: str, message: Digest | Delta) -> Outgoing:
-        """Take in a message of the fairness ledger's anti-entropy."""
+        """Process a message of the fairness ledger's anti-entropy."""
         if self.ledger is None:
             return []
         return self._address_all(self.ledger.handle(sender, message))
@@ -166,27 +167,28 @@
     def _handle_election(
         self, sender: str, message: Prepare | Promise | Propose | Accepted, now: int
     ) -> Outgoing:
-        """Take in a message of the election, in which only configured acceptors take part."""
+        """Process a message of the election, in which only configured acceptors take part."""
         if self.election is None:
             return []
         outgoing = self._address_all(self.election.handle(sender, message, now))
         if isinstance(message, Accepted):
-            outgoing += self._lead(now)  # it may have made us the leader
+            outgoing += self._update_leadership(now)  # this vote may have made us the leader
         return outgoing
 
     def _handle_lease_request(self, sender: MemberId, request: LeaseRequest, now: int) -> Outgoing:
         """Grant quota leases while we are the leader of the request's term.
 
-        Heartbeats may fall due with the request, and count as sent: dropped here, the next ones came a whole
-        interval later (test_heartbeats_that_fall_due_with_a_lease_request_are_sent).
+        Heartbeats that fall due at the time of the request count as sent, so they must be returned as well:
+        if they were dropped here, the next ones would be sent a whole interval later
+        (test_heartbeats_that_fall_due_with_a_lease_request_are_sent).
         """
-        outgoing = self._lead(now)
+        outgoing = self._update_leadership(now)
         return outgoing + self._address_all(self.leadership.answer(sender, request, now))
 
     def _handle_leader(
         self, sender: MemberId, message: LeaderHeartbeat | LeaseGrant | LeaseRevocation, now: int
     ) -> Outgoing:
-        """Take in a message of the leader; the term names it, and nobody may speak for another."""
+        """Process a message of the leader, if its sender is the leader that the term names."""
         if message.term[1:] != sender:
             return []
         match message:
@@ -199,16 +201,17 @@
                 self.lease_holder.accept_revocation(message, now)
         return self._request_lease(now)
 
-    # --- what the host calls beside that
+    # --- other calls of the host
 
     def spend(self, name: str, now: int) -> str | None:
         """Take one token for a request of that quota.
 
-        Demand for a quota that had none lately is reported to the leader at once, as its loans have to be
-        revoked: `next_wakeup` may be earlier after this call.
+        Demand for a quota that had none recently is reported to the leader at once, as its loans have to be
+        revoked; so `next_wakeup` may be earlier after this call.
 
         Returns:
-            The quota that the token is of, its own or one that lends to it; None where there is no token.
+            The quota from which the token was taken: that one, or one that lends to it. None if no token was
+            available.
         """
         return self.quota_client.spend(name, now)
 
@@ -226,9 +229,9 @@
     # --- sending, and the end of each step
 
     def _address_to(self, name: str, message: Message) -> Outgoing:
-        """Return a message with the member's address; one to ourselves is kept for the end of the step.
+        """Return a message with the member's address; keep one to this member for the end of the step.
 
-        Acceptors are where the configuration says, whoever else claims their names.
+        The address of an acceptor is the configured one, even if another process claims its name.
         """
         own_name, _ = self.member_id
         if name == own_name:
@@ -238,16 +241,16 @@
         return [(address, message)] if address is not None else []
 
     def _address_all(self, messages: NamedMessages) -> Outgoing:
-        """Return messages to named members with their addresses."""
+        """Return messages with the addresses of the members that they name."""
         return [addressed for name, message in messages for addressed in self._address_to(name, message)]
 
     def _address_to_leader(self, request: LeaseRequest) -> Outgoing:
-        """Return a lease request with the address of the member that leads in its term."""
+        """Return a lease request with the address of the leader of its term."""
         _, leader_name, _ = request.term
         return self._address_to(leader_name, request)
 
     def _finish_step(self, outgoing: Outgoing, now: int) -> Outgoing:
-        """Handle the messages to ourselves, then bring the quotas in force up to date."""
+        """Handle the messages from this member to itself, then update the quotas in force."""
         while self._loopback:
             message = self._loopback.pop(0)
             if not self.stepped_down:
@@ -264,13 +267,13 @@
         return outgoing
 
     def _step_down(self) -> None:
-        """Stop for good, as a later process of our name runs: it has our quotas, the minimum as well."""
+        """Stop for good: a later process of our name runs and holds our quotas, the minimum included."""
         self.stepped_down = True
         self.quota_client.step_down()
         self.leadership.resign()
 
     def _settle_fairness(self) -> bool:
-        """Take over which tenants are over their shares; return whether that changes anything."""
+        """Adopt the ledger's set of tenants over their fair shares; return whether it has changed."""
         if self.ledger is None or self.ledger.standing.over_share == self.tenants_over_share:
             return False
         self.tenants_over_share = self.ledger.standing.over_share
--- a/locktide/cluster/membership/__init__.py
+++ b/locktide/cluster/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: which members are alive, by SWIM with the refinements of Lifeguard."""
+"""Membership: which members are alive, determined by SWIM with the refinements of Lifeguard."""
--- a/locktide/cluster/membership/dissemination.py
+++ b/locktide/cluster/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Queue of membership changes that are piggybacked on other messages until all have probably seen them."""
+"""Queue of membership changes that are piggybacked on messages until probably all members have seen them."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 from locktide.cluster.messages import MemberRecord
 
-#: How often each change is sent, times log10(n + 1) of n members: memberlist's four reaches all of a thousand
-#: members with a tenth of the datagrams lost.
+#: How often each change is sent, divided by log10(n + 1) for n members. Memberlist's value of four reaches
+#: all of a thousand members with a tenth of the datagrams lost.
 RETRANSMIT_FACTOR = 4
-#: Records in one datagram: ten with the longest names and addresses stay below 1,200 bytes.
+#: Records in one datagram: ten records with the longest names and addresses stay below 1,200 bytes.
 MAX_RECORDS = 10
 
 
@@ -20,7 +20,7 @@
 
     Attributes:
         record: the record.
-        sent: how many messages have had it.
+        sent: how many messages have included it.
     """
 
     record: MemberRecord
@@ -31,7 +31,7 @@
     """The changes that are still to be sent.
 
     Attributes:
-        queued: the last change of each member, by its name.
+        queued: the last change of each member by its name.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self.queued[record.name] = QueuedRecord(record)
 
     def take(self, members: int) -> list[MemberRecord]:
-        """Return the records sent least, and drop those that were sent often enough for so many members."""
+        """Return the records sent least often; drop those sent often enough for that number of members."""
         transmit_limit = RETRANSMIT_FACTOR * ceil(log10(members + 1.0))
         least_sent_first = sorted(self.queued, key=lambda name: (self.queued[name].sent, name))
         records = []
--- a/locktide/cluster/membership/events.py
+++ b/locktide/cluster/membership/events.py
@@ -9,7 +9,7 @@
 
 
 class MembershipEventKind(StrEnum):
-    """What happened to a member; the values are parts of the ids of log events."""
+    """A kind of membership change; the values are parts of the ids of log events."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -18,7 +18,7 @@
     SUPERSEDED = "superseded"
 
 
-#: What is reported when a member is in a new state.
+#: The kind of event that is reported when a member enters a state.
 EVENT_OF_STATE = {
     MemberState.ALIVE: MembershipEventKind.ALIVE,
     MemberState.SUSPECT: MembershipEventKind.SUSPECT,
@@ -32,7 +32,7 @@
     """A change of the membership.
 
     Attributes:
-        kind: what happened; SUPERSEDED where a later process of our own name was found.
+        kind: the kind of change; SUPERSEDED if a later process of this member's own name was found.
         record: the record of the member, or of that later process.
     """
 
--- a/locktide/cluster/membership/partition_healing.py
+++ b/locktide/cluster/membership/partition_healing.py
@@ -1,7 +1,8 @@
-"""Lets members that consider each other dead meet again, and notifies superseded processes of the later one.
+"""Reconnects members that consider each other dead, and notifies superseded processes of the later process.
 
-Nobody probes a member that counts as dead, and gossip about it is sent only a bounded number of times:
-without this module such an error would stay for good, and with it two ledgers.
+Nobody probes a member that counts as dead, and gossip about it is sent only a bounded number of times.
+Without this module, members that wrongly consider each other dead would stay apart for good and keep two
+separate fairness ledgers.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SupersededNotice:
-    """What an earlier process of a name has to learn.
+    """A notice to an earlier process of a name that a later one runs.
 
     Attributes:
-        address: where the earlier process is reached.
-        record: the record of the later one.
+        address: the address of the earlier process.
+        record: the record of the later process.
     """
 
     address: tuple[str, int]
@@ -27,13 +28,13 @@
 
 
 class PartitionHealing:
-    """Finds what a member has to learn that others consider dead or that a later process has superseded.
+    """Selects the records to send to members considered dead and to processes superseded by a later one.
 
     Attributes:
         table: the records of all members.
-        seeds: addresses at which members are first contacted.
+        seeds: addresses at which other members are first contacted.
         generator: the source of random choices.
-        superseded: the records of earlier processes, by name, where a later one has another address.
+        superseded: the record of the earlier process of each name whose later process has another address.
     """
 
     def __init__(
@@ -45,12 +46,15 @@
         self.superseded: dict[str, MemberRecord] = {}
 
     def note_superseded(self, record: MemberRecord, current: MemberRecord) -> None:
-        """Remember a record that was known, or was received, where another one of its name counts."""
+        """Store the record of an earlier process if the current one of its name has another address."""
         if 0 < record.generation < current.generation and record.address != current.address:
             self.superseded[record.name] = record
 
     def records_to_refute(self, envelope: Envelope) -> list[MemberRecord]:
-        """Return our record of a sender for it to refute: suspected, dead or of another generation."""
+        """Return our record of a sender if the sender should refute it.
+
+        That is a record of a suspected or dead member, or of another generation.
+        """
         record = self.table.records.get(envelope.sender)
         if record is None:
             return []
@@ -58,10 +62,10 @@
         return [record] if is_doubted or record.generation != envelope.generation else []
 
     def superseded_notice(self, envelope: Envelope) -> SupersededNotice | None:
-        """Return what an earlier process of a name that has just sent a message must learn.
+        """Return the notice to the sender of a message if it is an earlier process of its name.
 
-        Messages to a name go to the later process's address, also when that one is dead: without a notice to
-        its own address the earlier process would never learn of the later.
+        Messages to a name are sent to the later process's address, even if that process is dead. Without a
+        notice to its own address the earlier process would never learn of the later one.
         """
         earlier = self.superseded.get(envelope.sender)
         current = self.table.records.get(envelope.sender)
@@ -76,10 +80,10 @@
         }
 
     def draw_lost_address(self) -> tuple[str, int] | None:
-        """Return the address of a random member that counts as dead, or of a seed at which nobody is alive.
+        """Return a random address among those of dead members and of seeds at which no member is alive.
 
-        It may have been partitioned with others, who consider us dead, also for so long that both sides have
-        forgotten each other.
+        A member there may be in another partition whose members consider us dead. A partition may have lasted
+        so long that both sides have forgotten each other, hence the seeds.
         """
         alive = {self.table.records[name].address for name in self.table.alive()}
         lost = [record.address for record in self.table.records.values() if record.state == MemberState.DEAD]
--- a/locktide/cluster/membership/probing.py
+++ b/locktide/cluster/membership/probing.py
@@ -1,4 +1,4 @@
-"""State of a member's failure probes: the one in progress, the order of targets, suspicions."""
+"""State of a member's failure probes: the probe in progress, the order of targets, and suspicions."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     Attributes:
         target: the name of the probed member.
         sequence: the sequence number of the Ping.
-        indirect_at: when relays are requested to probe, if no answer has come.
-        deadline: when the probe has failed.
-        is_indirect: whether relays were requested to probe.
-        is_acked: whether an answer has come.
-        silent_relays: the relays that have not yet sent a Nack.
+        indirect_at: when relays are requested to probe the target, if no answer has arrived.
+        deadline: when the probe fails, if no answer has arrived.
+        is_indirect: whether relays were requested to probe the target.
+        is_acked: whether an answer has arrived.
+        silent_relays: the relays that have not sent a Nack.
     """
 
     target: str
@@ -37,12 +37,12 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """A suspected member; times are in microseconds.
+    """The suspicion of one member; times are in microseconds.
 
     Attributes:
-        started_at: since when it is suspected.
-        accusers: the names of the members that suspect it.
-        deadline: when it counts as dead.
+        started_at: when the suspicion began.
+        accusers: the names of the members that suspect the member.
+        deadline: when the member is declared dead.
     """
 
     started_at: int
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedProbe:
-    """An indirect probe made for another member.
+    """An indirect probe on behalf of another member.
 
     Attributes:
         requester: the name of that member.
-        sequence: the sequence number of its probe.
+        sequence: the sequence number of that member's probe.
     """
 
     requester: str
@@ -64,9 +64,9 @@
 
 
 class ProbeOrder:
-    """Round-robin over the members in an order that is shuffled for each round, as in SWIM.
+    """Round-robin order over the members, shuffled for each round, as in SWIM.
 
-    So each member is probed within a bounded time, and never in the same order by all.
+    So each member is probed within a bounded time, and the members do not all probe in the same order.
 
     Attributes:
         generator: the source of random choices.
@@ -78,7 +78,7 @@
         self.remaining: list[str] = []
 
     def next_target(self, candidates: list[str]) -> str:
-        """Return the next of the candidates, of which there must be one at least."""
+        """Return the next candidate to probe; there must be at least one candidate."""
         present = set(candidates)
         while True:
             while self.remaining:
@@ -88,7 +88,7 @@
             self.shuffle()
 
     def shuffle(self) -> None:
-        """Shuffle by the algorithm of Fisher and Yates."""
+        """Shuffle the remaining members with the Fisher-Yates algorithm."""
         names = self.remaining
         for last in range(len(names) - 1, 0, -1):
             drawn = self.generator.below(last + 1)
--- a/locktide/cluster/membership/swim.py
+++ b/locktide/cluster/membership/swim.py
@@ -1,8 +1,8 @@
 """Failure detection by SWIM with Lifeguard's refinements, without I/O: which members are alive.
 
 A host calls `handle` with each message and `tick` at `next_wakeup`; both return the messages to send, with
-their addresses. The view's `events` are the changes to report. Membership says with whom to talk; no safety
-property rests on it. Times are whole microseconds of this member's own clock.
+their addresses. The view's `events` are the changes to report. Membership only determines to whom messages
+are sent; no safety property depends on it. Times are whole microseconds of this member's own clock.
 """
 
 from __future__ import annotations
@@ -26,29 +26,29 @@
 
 #: Messages to send, each with the address of its receiver.
 Outgoing = list[tuple[Address, Message]]
-#: Mean time between full syncs with one random member, in microseconds: they repair what gossip missed, also
-#: after a partition.
+#: Mean time between full syncs with one random member, in microseconds. A full sync repairs what gossip
+#: missed, also after a partition.
 FULL_SYNC_INTERVAL = 10_000_000
-#: Relayed probes that are remembered. Members that request probes without end would else fill the memory; one
-#: that is not answered by the time that so many are relayed will not be.
+#: Relayed probes that are kept. Without a limit, members that request probes without end would fill the
+#: memory. A probe that is unanswered when that many have been relayed will not be answered any more.
 MAX_RELAYED_PROBES = 256
-#: Members that are notified of our leave; gossip carries it on.
+#: Members that are notified when this one leaves; gossip notifies the others.
 LEAVE_NOTICES = 2 * INDIRECT_PROBES
 
 
 class Swim:
-    """One member's view of the cluster, and its part in keeping everybody's view up to date.
+    """Keeps one member's view of the cluster, and helps to keep the views of the others up to date.
 
     Attributes:
         member_id: name and generation of this member.
         seeds: addresses at which other members are first contacted.
         generator: the source of random choices.
-        view: what this member knows of all.
-        probe_order: which member is probed next.
+        view: this member's view of all members.
+        probe_order: the order in which members are probed.
         next_probe_at: when the next probe begins.
         next_full_sync_at: when the next full sync is sent.
         probe: the probe in progress, if any.
-        relayed_probes: probes on behalf of others, by our own sequence number.
+        relayed_probes: probes on behalf of others, by the sequence number of this member's own Ping.
         last_sequence: the last sequence number that was used.
     """
 
@@ -74,11 +74,11 @@
     # --- queries
 
     def alive(self) -> list[str]:
-        """Return the sorted names of members that are alive or suspected, our own among them."""
+        """Return the sorted names of members that are alive or suspected, including this member's."""
         return self.view.alive()
 
     def address_of(self, name: str) -> Address | None:
-        """Return the address of a member, or None where it is not known."""
+        """Return the address of a member, or None if it is not known."""
         return self.view.address_of(name)
 
     @property
@@ -93,7 +93,7 @@
     # --- messages
 
     def handle(self, envelope: Envelope, now: int) -> Outgoing:
-        """Take in a message, and return the replies; messages of other protocols are ignored."""
+        """Process a message, and return the replies; ignore messages of other protocols."""
         if self.view.has_left() or envelope.sender_id == self.member_id:
             return []
         message = envelope.message
@@ -116,13 +116,13 @@
     def handle_ping(self, envelope: Envelope, ping: Ping, now: int) -> Outgoing:
         """Answer a probe."""
         if ping.target_record is not None:
-            # Lifeguard's buddy system: a suspected member learns of it with the first message.
+            # Lifeguard's buddy system: a suspected member learns of the suspicion with the next Ping to it.
             self.view.merge(ping.target_record, now, envelope.sender)
         gossip = self.view.partition_healing.records_to_refute(envelope) + self.view.take_gossip()
         return self.address_to(envelope.sender, Ack(ping.sequence, gossip)) + self.notify_superseded(envelope)
 
     def handle_ack(self, ack: Ack) -> Outgoing:
-        """Pass the answer to a relayed probe on, or note the answer to our own."""
+        """Forward the answer to a relayed probe, or record the answer to this member's own probe."""
         relayed = self.relayed_probes.pop(ack.sequence, None)
         if relayed is not None:
             return self.address_to(relayed.requester, Ack(relayed.sequence, self.view.take_gossip()))
@@ -131,16 +131,16 @@
         return []
 
     def handle_nack(self, sender: str, nack: Nack) -> None:
-        """Note that a relay of the probe in progress is reachable."""
+        """Record that a relay of the probe in progress is reachable."""
         if self.probe is not None and nack.sequence == self.probe.sequence:
             self.probe.silent_relays.discard(sender)
 
     def handle_full_sync(self, envelope: Envelope, sync: FullSync, now: int) -> Outgoing:
-        """Take in a page of records, and reply with all of ours where that is wanted."""
+        """Merge a page of records, and reply with all of ours if a reply is wanted."""
         for record in sync.records:
             self.view.merge(record, now, envelope.sender)
-        # A notice is no request, and is not answered: two superseded processes would answer each other for
-        # ever.
+        # A notice to a superseded process wants no reply, and is not answered with another notice: two
+        # superseded processes would answer each other forever.
         if not sync.reply_wanted:
             return []
         reply = self.full_sync(self.address_of(envelope.sender), reply_wanted=False)
@@ -157,14 +157,14 @@
         return ping + self.address_to(requester, Nack(probe.sequence))
 
     def notify_superseded(self, envelope: Envelope) -> Outgoing:
-        """Notify a superseded process, at its own address, of the later one."""
+        """Notify the sender, at its own address, if a later process of its name has superseded it."""
         notice = self.view.partition_healing.superseded_notice(envelope)
         return [(notice.address, FullSync([notice.record], False))] if notice is not None else []
 
     # --- time
 
     def tick(self, now: int) -> Outgoing:
-        """Do what is due, and return the messages to send."""
+        """Perform the work that is due, and return the messages to send."""
         if self.view.has_left():
             return []
         self.view.expire_suspicions(now)
@@ -176,7 +176,7 @@
         return outgoing
 
     def start_probe(self, now: int) -> Outgoing:
-        """Ping the next member; where none is known, contact the seeds."""
+        """Ping the next member; if no other member is known, contact the seeds."""
         interval = self.view.health.scale(PROBE_INTERVAL)
         self.next_probe_at = now + interval
         others = self.view.other_members()
@@ -195,7 +195,7 @@
         return self.address_to(target, ping)
 
     def check_probe(self, now: int) -> Outgoing:
-        """Probe indirectly once the direct probe has timed out, and conclude the probe at its deadline."""
+        """Probe indirectly once the direct probe has timed out, and finish the probe at its deadline."""
         probe = self.probe
         if probe is None:
             return []
@@ -223,20 +223,20 @@
         return outgoing
 
     def finish_probe(self, probe: ProbeInProgress, now: int) -> None:
-        """Suspect the target where neither it nor a relay has answered for it."""
+        """Suspect the target if no answer has arrived, neither directly nor through a relay."""
         self.probe = None
         if probe.is_acked:
             self.view.health.adjust(-1)
             return
-        # Where the relays are silent as well it is rather we who do not receive.
-        is_our_fault = probe.is_indirect and bool(probe.silent_relays)
-        self.view.health.adjust(len(probe.silent_relays) if is_our_fault else +1)
+        # If relays are silent as well, it is more likely this member that does not receive messages.
+        is_local_fault = probe.is_indirect and bool(probe.silent_relays)
+        self.view.health.adjust(len(probe.silent_relays) if is_local_fault else +1)
         record = self.view.table.records.get(probe.target)
         if record is not None and record.state == MemberState.ALIVE:
             self.view.conclude(record, MemberState.SUSPECT, now)
 
     def start_full_sync(self, now: int) -> Outgoing:
-        """Exchange all records with a random member, or the seeds, and with one that counts as dead."""
+        """Exchange all records with a random member, or the seeds, and with a member that counts as dead."""
         self.next_full_sync_at = now + FULL_SYNC_INTERVAL // 2 + self.generator.below(FULL_SYNC_INTERVAL)
         self.view.prune(now)
         others = self.view.other_members()
@@ -248,7 +248,7 @@
         return outgoing + self.full_sync(lost, reply_wanted=True)
 
     def leave(self) -> Outgoing:
-        """Notify some members that this one leaves; nothing is sent after that."""
+        """Notify some members that this one leaves; it sends nothing after that."""
         self.view.leave()
         receivers = self.draw(self.view.other_members(), LEAVE_NOTICES)
         notice = FullSync([self.view.own_record], False)
@@ -257,16 +257,16 @@
     # --- sending
 
     def draw(self, names: list[str], count: int) -> list[str]:
-        """Return so many random names, or all where there are fewer; takes them out of the list."""
+        """Remove `count` random names from the list, or all if there are fewer, and return them."""
         return [names.pop(self.generator.below(len(names))) for _ in range(min(count, len(names)))]
 
     def address_to(self, name: str, message: Message) -> Outgoing:
-        """Return a message with the member's address, or nothing where that is not known."""
+        """Return a message with the member's address, or nothing if the address is not known."""
         address = self.address_of(name)
         return [(address, message)] if address is not None else []
 
     def full_sync(self, address: Address | None, reply_wanted: bool) -> Outgoing:
-        """Return all our records in as many datagrams as they take; only the last may want a reply."""
+        """Return all records of this member in as many messages as needed; only the last may want a reply."""
         if address is None:
             return []
         records = sorted(self.view.table.records.values(), key=lambda record: record.name)
--- a/locktide/cluster/membership/view.py
+++ b/locktide/cluster/membership/view.py
@@ -18,18 +18,18 @@
 
 
 class MembershipView:
-    """What one member knows of all, itself among them. Times are microseconds of its own clock.
+    """One member's knowledge of all members, including itself. Times are microseconds of its own clock.
 
     Attributes:
         member_id: name and generation of this member.
         own_record: its record of itself.
         table: the records of all members.
         gossip: the changes that are to be sent.
-        health: how well this member answers others.
-        suspicions: the suspected members by name.
+        health: the local health of this member.
+        suspicions: the suspicions of members, by name.
         events: the changes that are not reported yet.
-        superseded: whether a later process of our name was found.
-        partition_healing: what members must learn that others consider dead or superseded.
+        superseded: whether a later process of this member's name was found.
+        partition_healing: selects the records to send to members considered dead or superseded.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self.gossip.add(self.own_record)
 
     def alive(self) -> list[str]:
-        """Return the sorted names of members that are alive or suspected, our own among them."""
+        """Return the sorted names of members that are alive or suspected, including this member's."""
         return self.table.alive()
 
     def other_members(self) -> list[str]:
@@ -64,7 +64,7 @@
         return [name for name in self.table.alive() if name != self.member_id[0]]
 
     def address_of(self, name: str) -> Address | None:
-        """Return the address of a member, or None where it is not known."""
+        """Return the address of a member, or None if it is not known."""
         record = self.table.records.get(name)
         return record.address if record is not None else None
 
@@ -73,7 +73,7 @@
         return self.gossip.take(len(self.table.alive()))
 
     def merge(self, record: MemberRecord, now: int, accuser: str) -> None:
-        """Take in a record that `accuser` sent, or that we concluded ourselves."""
+        """Merge a record that `accuser` sent, which is this member itself for its own conclusions."""
         if record.name == self.member_id[0]:
             self.merge_own(record, now)
             return
@@ -94,7 +94,7 @@
             self.events.append(MembershipEvent(EVENT_OF_STATE[record.state], record))
 
     def confirm_suspicion(self, record: MemberRecord, accuser: str) -> None:
-        """Shorten the timeout of a suspicion that one more member shares."""
+        """Shorten the timeout of a suspicion that a further member confirms."""
         suspicion = self.suspicions.get(record.name)
         if suspicion is None or record.state != MemberState.SUSPECT or accuser == self.member_id[0]:
             return
@@ -107,10 +107,10 @@
             self.gossip.add(record)
 
     def merge_own(self, record: MemberRecord, now: int) -> None:
-        """Take in another member's record of us.
+        """Merge another member's record of this member.
 
-        A suspicion is refuted by a higher incarnation. A record of an earlier generation of our name is
-        superseded by ours; one of a later generation shows that we are superseded.
+        A suspicion is refuted by a higher incarnation. A record of an earlier generation of this member's
+        name is superseded by its own; one of a later generation shows that this member is superseded.
         """
         own = self.own_record
         if record.generation > own.generation:
@@ -120,7 +120,7 @@
             return
         is_accusation = record.generation == own.generation and record.state > MemberState.ALIVE
         if is_accusation and record.incarnation >= own.incarnation:
-            self.health.adjust(+1)  # we were too slow for somebody
+            self.health.adjust(+1)  # this member answered another one too slowly
             self.own_record = msgspec.structs.replace(own, incarnation=record.incarnation + 1)
         if record != self.own_record:
             self.table.merge(self.own_record, now)
@@ -132,13 +132,13 @@
         return suspicion_timeout(len(self.table.alive()), confirmations, self.health.score)
 
     def expire_suspicions(self, now: int) -> None:
-        """Declare members dead whose suspicion was not refuted in time."""
+        """Declare dead the members whose suspicion was not refuted in time."""
         for name, suspicion in list(self.suspicions.items()):
             if now >= suspicion.deadline:
                 self.conclude(self.table.records[name], MemberState.DEAD, now)
 
     def conclude(self, record: MemberRecord, state: MemberState, now: int) -> None:
-        """Merge a state that we concluded ourselves of a member."""
+        """Merge a state of a member that this member has concluded itself."""
         concluded = msgspec.structs.replace(record, state=state)
         self.merge(concluded, now, self.member_id[0])
 
@@ -151,7 +151,7 @@
         self.own_record = msgspec.structs.replace(self.own_record, state=MemberState.LEFT)
 
     def prune(self, now: int) -> None:
-        """Forget members that have been gone for long."""
+        """Forget members whose records are past the retention time."""
         self.table.forget(now)
         self.partition_healing.prune()
 
--- a/locktide/cluster/messages.py
+++ b/locktide/cluster/messages.py
@@ -1,9 +1,9 @@
 """Messages between dispatchers: typed structs in MessagePack, one datagram each.
 
 A datagram is four bytes of CRC-32 (big-endian) followed by the packed list [version, sender, generation of
-the sender, message]. Structs are packed as arrays: the position of a field and the tag of a message are the
-wire format, their names are not. The checksum rejects datagrams that were corrupted on the way; it does not
-authenticate the sender.
+the sender, message]. Structs are packed as arrays: the positions of fields and the tags of messages belong to
+the wire format, the names of fields and classes do not. The checksum rejects datagrams that were corrupted on
+the way; it does not authenticate the sender.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 #: Version of the protocol; version 1 had neither loans nor the fairness ledger.
 VERSION = 2
-#: Largest datagram, in bytes: less than the smallest MTU of any path, so that none is fragmented.
+#: Largest datagram, in bytes: less than the smallest MTU of any path, so that no datagram is fragmented.
 MAX_DATAGRAM = 1200
 CHECKSUM_BYTES = 4
 
@@ -28,15 +28,15 @@
 MemberId = tuple[str, int]
 #: A ballot of the election: a counter and the proposer's member id; ballots are totally ordered.
 Ballot = tuple[Count, str, int]
-#: Index of a quota among the sorted names of all quotas, which is the same wherever the checksum of the names
-#: is the same. Fifty of them and the loans between them fit one datagram.
+#: Index of a quota among the sorted names of all quotas. Members whose checksums of the names are equal have
+#: equal indices. Fifty quotas and the loans between them fit one datagram.
 QuotaIndex = Annotated[int, Meta(ge=0, le=255)]
-#: A loan: the lending quota, the borrowing quota, and millionths of the lender's whole.
+#: A loan: the lending quota, the borrowing quota, and the amount in millionths of the lender's whole.
 LoanTriple = tuple[QuotaIndex, QuotaIndex, Millionths]
 
 
 class MemberState(IntEnum):
-    """State of a member as another one knows it; of two states of one incarnation the higher number wins."""
+    """State of a member as known to another one; of two states of one incarnation the higher number wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -45,7 +45,7 @@
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One member as some member knows it.
+    """The state of one member as known to another one.
 
     A member raises its own `incarnation` to refute a suspicion.
     """
@@ -58,13 +58,14 @@
 
 
 class Message(msgspec.Struct, array_like=True):
-    """Base of all messages; each has a tag of its own."""
+    """Base class of all messages; each message has its own tag."""
 
 
 class Ping(Message, tag="Ping"):
     """A direct probe, answered by an Ack of the same sequence number.
 
-    `target_record` is what the sender knows of the member it probes, so that a suspected one can refute it.
+    `target_record` is the sender's record of the probed member, so that a suspected member can refute the
+    suspicion.
     """
 
     sequence: int
@@ -81,20 +82,20 @@
 
 
 class Ack(Message, tag="Ack"):
-    """The answer to a Ping."""
+    """The answer to a Ping of the same sequence number."""
 
     sequence: int
     gossip: list[MemberRecord]
 
 
 class Nack(Message, tag="Nack"):
-    """The immediate answer to an IndirectProbe: it arrived, and the target has not answered yet."""
+    """The immediate answer to an IndirectProbe: the request has arrived, the target has not answered yet."""
 
     sequence: int
 
 
 class FullSync(Message, tag="Whole"):
-    """One page of all records of the sender; where a reply is wanted the receiver sends its own records."""
+    """One page of all records of the sender; if `reply_wanted`, the receiver sends its own records back."""
 
     records: list[MemberRecord]
     reply_wanted: bool
@@ -109,8 +110,8 @@
 class Promise(Message, tag="Promise"):
     """An acceptor's answer to a Prepare of ballot `requested`.
 
-    `promised` is the highest ballot it has promised; `refused` where that is higher than the requested one.
-    `lease_owner` holds the lease as far as this acceptor knows.
+    `promised` is the highest ballot that the acceptor has promised; `refused` is true if that is higher than
+    the requested one. `lease_owner` is the owner of the lease as far as this acceptor knows.
     """
 
     requested: Ballot
@@ -120,7 +121,7 @@
 
 
 class Propose(Message, tag="Propose"):
-    """Second phase of a ballot: the lease for `lease_owner`."""
+    """Second phase of a ballot: proposes the lease for `lease_owner`."""
 
     ballot: Ballot
     lease_owner: MemberId
@@ -141,10 +142,11 @@
 
 
 class LeaseRequest(Message, tag="Ask"):
-    """A member's request for leases: what it holds and what it has demand for.
+    """A member's request for leases, with its current leases and its demand.
 
-    `held_shares` and `loans` are in force by grant `seq` of `held_term`; `demand` is by quota, in whatever
-    unit the quota has. `names_checksum` is of the quotas' names, which number them.
+    `held_shares` and `loans` are in force by grant `seq` of `held_term`; `demand` is by quota, in the unit of
+    the quota. `names_checksum` is the checksum of the sorted names of the quotas, which determine their
+    indices.
     """
 
     term: Ballot
@@ -159,9 +161,9 @@
 
 
 class LeaseGrant(Message, tag="Grant"):
-    """The answer to the request of that number: leases counted from when the request was sent.
+    """The answer to the lease request of that number; its leases count from when the request was sent.
 
-    `more_expected`: the member should have more, once others have let go of it.
+    `more_expected` means that the member should get more once others have given it back.
     """
 
     term: Ballot
@@ -173,9 +175,9 @@
 
 
 class LeaseRevocation(Message, tag="Recall"):
-    """Revokes what was lent of these quotas, as they have demand again.
+    """Revokes the loans of these quotas, as they have demand again.
 
-    It only makes haste: a loan ends by itself.
+    A revocation only ends the loans sooner: without it they end when they expire.
     """
 
     term: Ballot
@@ -183,7 +185,10 @@
 
 
 class LedgerRow(msgspec.Struct, array_like=True, frozen=True):
-    """What a tenant, by its index, uses of each resource through the writer, and what waits there."""
+    """A tenant's use of each resource through the writer, and the needs of its requests that wait there.
+
+    The tenant is identified by its index.
+    """
 
     index: Count
     version: Count
@@ -192,19 +197,23 @@
 
 
 class WriterDelta(msgspec.Struct, array_like=True):
-    """Rows of one writer: all that it wrote after a version, as far as they go, in the order of versions."""
+    """Rows of one writer in the order of versions.
+
+    They are all its current rows with versions after `after_version`, up to the last row that is listed.
+    """
 
     name: str
-    start: int
+    generation: int
     after_version: Count
     rows: list[LedgerRow]
 
 
 class Digest(Message, tag="Heads"):
-    """Up to which version the sender has read each writer of a range of names, and which are closed.
+    """The version up to which the sender has read each writer of a range of names, and the closed writers.
 
-    The range begins after `after_name` and goes up to `up_to_name`; where that is empty, there is only the
-    digest of all rows. `schema_checksum` is of the names of tenants and resources, which number them.
+    The range begins after `after_name` and ends with `up_to_name`; if `up_to_name` is empty, the message has
+    only the digest of all rows. `schema_checksum` is the checksum of the names of tenants and resources,
+    which determine their indices.
     """
 
     schema_checksum: int
@@ -224,7 +233,7 @@
 
 
 class InspectionRequest(Message, tag="Look"):
-    """Request of `locktide cluster show`; answered on loopback only."""
+    """The request of `locktide cluster show`; it is answered on loopback only."""
 
     request_id: int
 
@@ -276,7 +285,7 @@
 
 
 def decode(datagram: bytes) -> Envelope | None:
-    """Return the message of a datagram; None where it is corrupt, too long or of another version."""
+    """Return the message of a datagram; None if it is corrupt, too long or of another version."""
     if not CHECKSUM_BYTES < len(datagram) <= MAX_DATAGRAM:
         return None
     body = datagram[CHECKSUM_BYTES:]
--- a/locktide/cluster/quota/__init__.py
+++ b/locktide/cluster/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas divided by the leader and held by members as leases."""
+"""Quotas, which the leader divides among the members; each member holds its part as leases."""
--- a/locktide/cluster/quota/account.py
+++ b/locktide/cluster/quota/account.py
@@ -1,4 +1,4 @@
-"""What one member may hold at worst, as the allocator counts it, by the allocator's clock."""
+"""The allocator's account of the most that one member may hold, by the allocator's clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from locktide.cluster.messages import LeaseRequest
 from locktide.cluster.quota.types import Loans, QuotaDemand, QuotaShares, loans_from_wire
 
-#: Before any time of any clock, in microseconds.
+#: Earlier than any time of any clock, in microseconds.
 LONG_AGO = -(1 << 62)
 
 
@@ -16,11 +16,11 @@
     """A grant that may be in force.
 
     Attributes:
-        seq: its number in the allocator's term.
+        seq: the number of the grant in the allocator's term.
         shares: the shares that were granted.
         loans: the loans that were granted.
-        shares_until: when the shares count no more.
-        loans_until: when the loans count no more, which is no later.
+        shares_until: when the shares stop counting.
+        loans_until: when the loans stop counting, which is no later.
     """
 
     seq: int
@@ -30,7 +30,7 @@
     loans_until: int
 
     def amounts_at(self, now: int) -> QuotaShares:
-        """Return, for each quota, its share and what is lent of it."""
+        """Return, for each quota, the share of it plus the loans of it."""
         amounts = self.shares if now < self.shares_until else {}
         if loans := self.loans_at(now):
             amounts = dict(amounts)
@@ -43,27 +43,27 @@
         return self.loans if now < self.loans_until else {}
 
     def expiries_after(self, now: int) -> list[int]:
-        """Return the times at which it will count less."""
+        """Return the future times at which part of the grant stops counting."""
         expiries = (self.shares_until, self.loans_until if self.loans else 0)
         return [expiry for expiry in expiries if now < expiry]
 
 
 @dataclass(slots=True)
 class HolderAccount:
-    """What the allocator knows of one member: its demand, and the two grants that it may hold.
+    """The allocator's state of one member: its demand, and the two grants that it may hold.
 
     Attributes:
         request_number: the number of the last request that was received.
-        heard_at: when it was received.
+        request_received_at: when that request was received.
         demand: the demand that the member reported.
-        confirmed: what the member reported to hold.
+        confirmed: the grant that the member reported to hold.
         unconfirmed: a later grant, which the member has not reported yet.
         stepped_at: when its shares last made a damped step.
-        counted: its worst case as the totals include it.
+        counted: its worst case as included in the totals.
     """
 
     request_number: int = 0
-    heard_at: int = 0
+    request_received_at: int = 0
     demand: QuotaDemand = field(default_factory=dict)
     confirmed: OutstandingGrant | None = None
     unconfirmed: OutstandingGrant | None = None
@@ -93,10 +93,10 @@
         return worst
 
     def confirm(self, request: LeaseRequest, shares_until: int, loans_until: int, same_term: bool) -> None:
-        """Record what the member reports to hold.
+        """Record the leases that the member reports to hold.
 
-        No grant that was sent before this request can come into force there any more. A grant of the same
-        term that was counted with an earlier end keeps that end.
+        A grant that was sent before this request can no longer come into force at the member. A grant of the
+        same term that was counted with an earlier expiry keeps that expiry.
         """
         for grant in (self.confirmed, self.unconfirmed):
             if same_term and grant is not None and grant.seq == request.seq:
--- a/locktide/cluster/quota/allocation.py
+++ b/locktide/cluster/quota/allocation.py
@@ -1,4 +1,4 @@
-"""How the divisible part of a quota is divided: by demand, damped, in whole millionths."""
+"""Divides the divisible part of a quota: in proportion to demand, damped, in whole millionths."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 
 #: Millionths in a whole quota.
 WHOLE = 1_000_000
-#: Fraction of the divisible part that is spread evenly over all members, so that one whose demand begins has
-#: something beside its guaranteed minimum until the next division. More of it is missing where demand is.
+#: Fraction of the divisible part that is spread evenly over all members, so that a member whose demand begins
+#: has more than its guaranteed minimum until the next division. A larger fraction would take away more from
+#: the members that have demand.
 EVEN_FRACTION = 0.05
-#: Fraction of its way to the target that a share makes at each division, at most one in half a request
-#: interval: it has arrived
-#: after a second, and a burst of a tenth of one at one member does not take everything from the others.
+#: Fraction of the distance to its target that a share moves at each division; divisions are at least half a
+#: request interval apart. A share so reaches its target within a second, and a burst of a tenth of a second
+#: at one member does not take everything from the others.
 DAMPING = 0.7
-#: Least change of a share, as a fraction of an even one: each change costs the burst that moves with it.
+#: Smallest change of a share, as a fraction of an even share: each change costs the burst that moves with it.
 DEAD_BAND = 0.02
 
 
@@ -24,10 +25,10 @@
 def target_shares(
     demand: dict[HolderKey, int], divisible: int, guaranteed_minimum: int = 0
 ) -> dict[HolderKey, int]:
-    """Return each holder's target share of `divisible`, which it has beside its `guaranteed_minimum`.
+    """Return each holder's target share of `divisible`, which is in addition to its `guaranteed_minimum`.
 
-    Minimum and share together follow demand. A holder whose minimum covers its demand gets none of what
-    follows demand. The targets sum to `divisible` at most, whatever the order of `demand`.
+    Minimum and share together are in proportion to demand. A holder whose minimum covers its demand gets only
+    the even part. The sum of the targets is at most `divisible`; they do not depend on the order of `demand`.
     """
     if not demand:
         return {}
@@ -41,7 +42,10 @@
 def _shares_by_demand(
     demand: dict[HolderKey, int], rest: int, guaranteed_minimum: int
 ) -> dict[HolderKey, int]:
-    """Divide `rest` so that minimum and share together follow demand; holders that get none are left out."""
+    """Divide `rest` so that minimum and share together are in proportion to demand.
+
+    Holders that get nothing are left out.
+    """
     demanding = {holder: amount for holder, amount in demand.items() if amount}
     while demanding:
         total_demand = sum(demanding.values())
--- a/locktide/cluster/quota/allocation_planner.py
+++ b/locktide/cluster/quota/allocation_planner.py
@@ -1,4 +1,4 @@
-"""Target shares and planned loans of all members that have demand; what is in force is the allocator's."""
+"""Plans the target shares and loans of all members with recent requests; the allocator makes the grants."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from locktide.cluster.quota.revocations import RevocationQueue
 from locktide.cluster.quota.types import Loans, QuotaDemand, QuotaShares
 
-#: For how long the demand of a member counts that sends no request, as a fraction of a share's lease: it may
-#: have died.
+#: How long the demand of a member that sends no request counts, as a fraction of a share's lease: the member
+#: may have died.
 DEMAND_LIFETIME = 0.5
 #: Plans in one regular interval between a member's requests.
 PLANS_PER_REQUEST_INTERVAL = 2
@@ -21,16 +21,16 @@
 
 
 class AllocationPlanner:
-    """Plans anew from the demand of all members, at most twice between two requests of one member.
+    """Makes plans from the demand of all members, at most twice between two requests of one member.
 
     Attributes:
-        grants: what each member may hold at worst, with its demand.
-        revocations: where revocations are queued.
-        loan_allocator: plans the loans; None where nothing may be lent.
-        guaranteed_minimum: what each member has beside its share, in millionths of a whole.
-        replan_interval: the least time between two plans, in microseconds.
-        demand_lifetime: for how long the demand of a silent member counts, in microseconds.
-        targets: the target share of each member that has demand, by quota, in millionths.
+        grants: the most that each member may hold, and its demand.
+        revocations: the queue for revocations.
+        loan_allocator: plans the loans; None if nothing may be lent.
+        guaranteed_minimum: a member's guaranteed part of each quota, in millionths of a whole.
+        replan_interval: the shortest time between two plans, in microseconds.
+        demand_lifetime: how long the demand of a silent member counts, in microseconds.
+        targets: the target share of each member with a recent request, by quota, in millionths.
         planned_loans: the loans that each member should have.
         planned_at: when the last plan was made.
         borrowing_order: quotas whose requests borrow first.
@@ -56,13 +56,13 @@
         self.borrowing_order: list[QuotaIndex] = []
 
     def invalidate(self) -> None:
-        """Plan anew before the next target is returned."""
+        """Require a new plan before the next target is returned."""
         self.planned_at = LONG_AGO
 
     def target(self, member_id: MemberId, quota: QuotaIndex, now: int, may_lend: bool) -> int:
         """Return the member's target share of the quota."""
         targets = self._current_targets(now, may_lend)[quota]
-        if member_id not in targets:  # its first request came after the last planning
+        if member_id not in targets:  # its first request arrived after the last plan was made
             self.invalidate()
             targets = self._current_targets(now, may_lend)[quota]
         return targets[member_id]
@@ -81,16 +81,16 @@
         recent = [
             (member_id, account)
             for member_id, account in self.grants.accounts.items()
-            if now - account.heard_at < self.demand_lifetime
+            if now - account.request_received_at < self.demand_lifetime
         ]
         lent = self._plan_loans(recent, now) if may_lend else {}
         for quota, divisible in self.grants.divisible.items():
             demand = {member_id: account.demand.get(quota, 0) for member_id, account in recent}
-            left = max(0, divisible - lent.get(quota, 0))
-            self.targets[quota] = target_shares(demand, left, self.guaranteed_minimum)
+            remaining = max(0, divisible - lent.get(quota, 0))
+            self.targets[quota] = target_shares(demand, remaining, self.guaranteed_minimum)
 
     def _plan_loans(self, recent: RecentAccounts, now: int) -> QuotaShares:
-        """Plan the loans and each member's part of them; return how much of each quota is to be lent."""
+        """Plan the loans and each member's part of them; return the planned loans of each quota in total."""
         if self.loan_allocator is None:
             return {}
         demand = _total_demand(recent)
@@ -108,7 +108,7 @@
 
 
 def _total_demand(recent: RecentAccounts) -> QuotaDemand:
-    """Return the demand of all these members together."""
+    """Return the total demand of these members by quota."""
     total: QuotaDemand = {}
     for _, account in recent:
         for quota, amount in account.demand.items():
--- a/locktide/cluster/quota/allocator.py
+++ b/locktide/cluster/quota/allocator.py
@@ -1,26 +1,27 @@
-"""The leader's division of quotas: shares and loans granted to members as leases.
+"""The leader's division of quotas: it grants shares and loans to members as leases.
 
-Safety: at every instant, the shares of a quota in force at all members and the loans of it together are at
-most what may be divided of it. The guaranteed minimums of all members are set aside from the whole before
-that, so the whole is never exceeded either. The argument has four steps.
+Safety: at every instant, the shares of a quota in force at all members plus the loans of it are at most the
+divisible part of the quota. The guaranteed minimums of all members are set aside from the whole before that,
+so the whole is never exceeded either. The argument has four steps.
 
-1. A grant is over at its holder before the allocator counts it as over. The holder counts the lease's span
+1. A grant expires at its holder before the allocator counts it as expired. The holder counts the lease's span
    from before it sent the request, by its own clock; the allocator counts the longer `lifetime_at_grantor`
    of that span from after it received the request (see `lease_timing`). This needs no synchronized clocks,
    only a bound on how much their rates differ.
-2. What a member may hold is one of two grants: the one that it reported in its last request (`confirmed`) or
-   the one that answered that request (`unconfirmed`), which may have been lost. Any older grant is void, as a
-   holder accepts only the answer to its latest request, and reports in each request what it holds. So the
-   larger of the two, for each quota, bounds what the member holds. It is counted until it expires by step 1
-   or the next request replaces it.
-3. A grant is limited to the divisible part less what all other members may hold by step 2. Loans count
-   against the lender's quota, beside its shares, whoever holds them. So the sum of all bounds never exceeds
-   the divisible part, and neither does what is in force. A total shrinks only after an expiry or a report.
+2. A member holds one of two grants: the one that it reported in its last request (`confirmed`), or the one
+   that answered that request (`unconfirmed`), which may have been lost. Any older grant is void, as a holder
+   accepts only the answer to its latest request, and reports in each request the leases that it holds. So the
+   larger of the two, for each quota, is an upper bound of what the member holds. It is counted until it
+   expires by step 1 or the next request replaces it.
+3. A grant is limited to the divisible part less the upper bounds of all other members by step 2. Loans count
+   against the lender's quota, in addition to its shares, whichever member holds them. So the sum of all
+   bounds never exceeds the divisible part, and neither do the leases in force. A total shrinks only after an
+   expiry or a report.
 4. A new leader does not know what its predecessors granted. The election lets at most one member lead at a
-   time, so all earlier grants are over one lifetime after the new term's first moment. Until then the new
-   allocator only renews what a member reports to hold, which its predecessor counted, too; it grants nothing
-   more, and no loans, as those end soon. A holder that has sent a request under a later term refuses the
-   grants of an earlier one.
+   time, so all earlier grants have expired one lifetime after the start of the new term. Until then the new
+   allocator only renews the shares that a member reports to hold, which its predecessor counted as well; it
+   grants nothing more, and no loans, as those end soon. A holder that has sent a request under a later term
+   refuses the grants of an earlier one.
 
 Source of leases: Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache
 consistency", SOSP 1989.
@@ -40,20 +41,20 @@
 from locktide.cluster.quota.revocations import PendingRevocation, RevocationQueue
 from locktide.cluster.quota.types import Loans, QuotaShares, loans_to_wire
 
-#: Loans in one grant: what fits a datagram beside fifty shares and the demand of as many quotas.
+#: Loans in one grant: as many as fit a datagram together with fifty shares and the demand of as many quotas.
 MAX_LOANS_PER_GRANT = 24
-#: Damped steps of one member's shares in one regular interval between its requests. Several requests that
-#: report in quick succession what was given back must not make a step each, which would undo the damping.
+#: Damped steps of one member's shares in one regular interval between its requests. If each of several
+#: requests that report returned leases in quick succession made a step, that would undo the damping.
 STEPS_PER_REQUEST_INTERVAL = 2
 
 
 @dataclass(frozen=True, slots=True)
 class AllocatorConfig:
-    """What an allocator divides.
+    """Configuration of an allocator.
 
     Attributes:
         divisible: how much of each quota is divided, in millionths of its whole.
-        guaranteed_minimum: what each member has of every quota beside that, in the same unit.
+        guaranteed_minimum: each member's guaranteed part of every quota in addition, in the same unit.
         timing: durations of the leases.
     """
 
@@ -70,15 +71,15 @@
     Attributes:
         term: the term of the leader.
         divisible: how much of each quota is divided, in millionths of its whole.
-        loan_allocator: plans the loans; None where nothing may be lent.
+        loan_allocator: plans the loans; None if nothing may be lent.
         share_lifetime: how long a grant of shares counts here, in microseconds.
         loan_lifetime: how long a grant of loans counts here, in microseconds.
-        step_interval: the least time between two damped steps of one member's shares.
-        renew_only_until: when all that earlier leaders granted has expired.
+        step_interval: the shortest time between two damped steps of one member's shares, in microseconds.
+        renew_only_until: when all grants of earlier leaders have expired.
         seq: the number of the last grant.
-        grants: what each member may hold at worst.
+        grants: the most that each member may hold.
         revocations: revocations that are to be sent.
-        planner: target shares and planned loans.
+        planner: plans target shares and loans.
     """
 
     def __init__(
@@ -104,19 +105,19 @@
         )
 
     def set_borrowing_order(self, order: list[QuotaIndex]) -> None:
-        """State which quotas' requests borrow first."""
+        """Set which quotas borrow first, in this order."""
         self.planner.borrowing_order = order
 
     def take_revocations(self) -> list[PendingRevocation]:
-        """Return the revocations that are to be sent, and forget them."""
+        """Return the revocations that are to be sent, and clear the queue."""
         return self.revocations.take()
 
     def handle_request(self, member_id: MemberId, request: LeaseRequest, now: int) -> LeaseGrant | None:
-        """Return the grant, or None to a request that is late, doubled or the member's last."""
+        """Return the grant, or None for a request that is late, duplicated or the member's last."""
         self.grants.expire(now)
         account = self.grants.account(member_id)
         if request.number <= account.request_number:
-            return None  # what it reports is out of date
+            return None  # its report is out of date
         self._record_request(member_id, account, request, now)
         self._reclaim_for(account, now)
         if request.leaving:
@@ -142,7 +143,7 @@
         self, member_id: MemberId, account: HolderAccount, request: LeaseRequest, now: int
     ) -> None:
         account.request_number = request.number
-        account.heard_at = now
+        account.request_received_at = now
         account.demand = {} if request.leaving else request.demand
         account.confirm(
             request,
@@ -153,7 +154,7 @@
         self.grants.update(member_id, now)
 
     def _may_step(self, account: HolderAccount, now: int) -> bool:
-        """Return whether the member's shares may make a damped step now, and note that they do."""
+        """Return whether the member's shares may make a damped step now, and if so record that they do."""
         if now < account.stepped_at + self.step_interval:
             return False
         account.stepped_at = now
@@ -162,7 +163,7 @@
     def _record_grant(
         self, member_id: MemberId, account: HolderAccount, shares: QuotaShares, loans: Loans, now: int
     ) -> None:
-        """Count a new grant as what the member may hold beside what it has confirmed."""
+        """Count a new grant as one that the member may hold instead of the confirmed one."""
         self.seq += 1
         account.unconfirmed = OutstandingGrant(
             seq=self.seq,
@@ -174,7 +175,7 @@
         self.grants.update(member_id, now)
 
     def _reclaim_for(self, account: HolderAccount, now: int) -> None:
-        """Revoke the loans of quotas for which there is demand again."""
+        """Revoke the loans of quotas that have demand again."""
         if self.loan_allocator is None:
             return
         demanded = [quota for quota, amount in account.demand.items() if amount]
@@ -183,35 +184,35 @@
             self.planner.invalidate()
             self.revocations.revoke(reclaimed, now)
 
-    def _may_give_more(self, now: int) -> bool:
-        """Return whether all grants of earlier leaders are over, so that more than a renewal is safe."""
+    def _may_grant_more(self, now: int) -> bool:
+        """Return whether all grants of earlier leaders have expired, so that more than a renewal is safe."""
         return now >= self.renew_only_until
 
     def _target(self, member_id: MemberId, quota: QuotaIndex, now: int) -> int:
-        return self.planner.target(member_id, quota, now, self._may_give_more(now))
+        return self.planner.target(member_id, quota, now, self._may_grant_more(now))
 
     def share_for(self, member_id: MemberId, quota: QuotaIndex, held: int, may_step: bool, now: int) -> int:
-        """Return the member's next share of the quota, within what all others leave."""
+        """Return the member's next share of the quota, limited to the part that the other members leave."""
         available = self.grants.available(member_id, quota)
-        if not self._may_give_more(now):
+        if not self._may_grant_more(now):
             return min(held, available)
         wanted = held
         if self._is_reclaiming(quota, now):
-            wanted = self._target(member_id, quota, now)  # its lender has demand again: no damping
+            wanted = self._target(member_id, quota, now)  # the quota has demand again: no damping
         elif may_step:
             target = self._target(member_id, quota, now)
             wanted = damped_share(held, target, self.planner.even_share(quota))
         return max(0, min(wanted, available))
 
     def _is_reclaiming(self, quota: QuotaIndex, now: int) -> bool:
-        """Return whether the quota was reclaimed so lately that its shares follow demand at once."""
+        """Return whether the quota was reclaimed so recently that its shares follow demand undamped."""
         return self.loan_allocator is not None and self.loan_allocator.is_reclaiming(quota, now)
 
     def _awaits_reclaim(
         self, member_id: MemberId, account: HolderAccount, shares: QuotaShares, now: int
     ) -> bool:
-        """Return whether the member should have more of a reclaimed quota, once that is given back."""
-        if not self._may_give_more(now):
+        """Return whether the member should get more of a reclaimed quota once others have given it back."""
+        if not self._may_grant_more(now):
             return False
         short: list[QuotaIndex] = []
         for quota in account.demand:
@@ -224,8 +225,8 @@
         return bool(short)
 
     def _loans_for(self, member_id: MemberId, shares: QuotaShares, now: int) -> Loans:
-        """Return what this member may spend of other quotas, the largest loans first."""
-        if self.loan_allocator is None or not self._may_give_more(now):
+        """Return the loans to grant to the member, the largest planned ones first."""
+        if self.loan_allocator is None or not self._may_grant_more(now):
             return {}
         granted: Loans = {}
         planned = self.planner.planned_loans.get(member_id, {})
--- a/locktide/cluster/quota/lease_holder.py
+++ b/locktide/cluster/quota/lease_holder.py
@@ -1,7 +1,8 @@
-"""What one member holds of each quota and of loans, and until when by its own clock.
+"""The shares and loans that one member holds as leases, and their expiry by its own clock.
 
-A lease counts from the moment at which it was requested. The leader may change: once a request was sent under
-a later term, a grant of an earlier one is refused, and only the latest request's answer is accepted.
+The span of a lease counts from the moment at which it was requested. The leader may change: once a request
+was sent under a later term, a grant of an earlier term is refused, and only the answer to the latest request
+is accepted.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-#: Requests in one regular interval while the holder waits for more than it has: what others give back is
-#: granted to it with its next request.
+#: Requests in one regular interval while the holder waits for more than it has: it is granted what others
+#: give back only with its next request.
 WAITING_REQUESTS_PER_INTERVAL = 4
-#: The same after something has changed that the leader should know of at once.
+#: Requests in one regular interval after a change of which the leader should know at once.
 URGENT_REQUESTS_PER_INTERVAL = 8
 
 
 class LeaseHolder:
-    """Requests leases from the leader and keeps what was granted.
+    """Requests leases from the leader and keeps those that were granted.
 
     Times are microseconds of this member's clock.
 
@@ -32,20 +33,20 @@
         share_lease: how long shares are leased, in microseconds.
         loan_lease: how long loans are leased, in microseconds.
         request_interval: the regular time between two requests, in microseconds.
-        waiting_interval: the same while it waits for more than it has.
-        urgent_interval: the least time between two requests, after something has changed.
+        waiting_interval: the time between two requests while it waits for more than it has.
+        urgent_interval: the shortest time between two requests, used after a change.
         shares: the shares of the last grant; in force before `shares_until`.
-        shares_until: when they expire.
+        shares_until: when the shares expire.
         loans: the loans of the last grant; in force before `loans_until`.
-        loans_until: when they expire.
+        loans_until: when the loans expire.
         grant_term: the term of the grant in force; None before the first one.
         seq: the number of the grant in force, in its term.
         term: the term of the leader to whom requests are sent; None while no leader is known.
         request_number: the number of the last request.
-        requested_at: when it was sent.
+        requested_at: when the last request was sent.
         next_request_at: when the next request is due.
-        urgent_until: before that an unanswered request is soon followed by another.
-        leaving: whether the last request was sent.
+        urgent_until: time before which an unanswered request is soon followed by another one.
+        leaving: whether the member leaves, so that no further request is sent.
     """
 
     def __init__(self, member_id: MemberId, now: int, timing: LeaseTiming = DEFAULT_TIMING) -> None:
@@ -75,24 +76,24 @@
         return self.shares
 
     def current_loans(self, now: int) -> Loans:
-        """Return the loans in force: what may be spent of other quotas."""
+        """Return the loans in force, under which tokens of other quotas may be spent."""
         if now >= min(self.shares_until, self.loans_until) and self.loans:
             self.loans = {}
         return self.loans
 
     def observe_leader(self, term: Ballot, now: int) -> None:
-        """Follow a leader of a later term."""
+        """Follow the leader of a later term; ignore that of an earlier one."""
         if self.term is None or term > self.term:
             self.term = term
             self.next_request_at = now
 
     @property
     def due(self) -> int:
-        """When the next request is to be sent."""
+        """When the next request is due."""
         return self.next_request_at
 
     def request_soon(self, now: int) -> None:
-        """Advance the next request, as demand has begun that the leader should know of at once."""
+        """Advance the next request, as the leader should know at once of demand that has begun."""
         self.urgent_until = now + self.share_lease
         self._advance_request(now)
 
@@ -101,7 +102,7 @@
         self.next_request_at = min(self.next_request_at, earliest)
 
     def next_request(self, demand: QuotaDemand, now: int) -> LeaseRequest | None:
-        """Return the next request, if it is due; the term names its receiver."""
+        """Return the next request if it is due; its term names the receiver."""
         if self.term is None or now < self.next_request_at or self.leaving:
             return None
         return self._build_request(self.term, demand, now)
@@ -126,7 +127,7 @@
         )
 
     def accept_grant(self, grant: LeaseGrant, now: int) -> bool:
-        """Put the grant in force if it answers the latest request in time; return whether it does."""
+        """Put the grant in force if it answers the latest request in time; return whether it did."""
         if not self._is_answer(grant, now):
             return False
         previous_shares = self.current_shares(now)
@@ -141,17 +142,17 @@
         interval = self.waiting_interval if grant.more_expected else self.request_interval
         self.next_request_at = self.requested_at + interval
         if _has_less(self.shares, previous_shares) or _has_less(self.loans, previous_loans):
-            # What was given back is granted to others only once the leader has a report of it.
+            # The leader grants to others what was given back only after this member has reported it.
             self.next_request_at = min(self.next_request_at, now + self.urgent_interval)
         return True
 
     def _is_answer(self, grant: LeaseGrant, now: int) -> bool:
-        """Return whether the grant answers the latest request, and its shares have not expired."""
+        """Return whether the grant answers the latest request and its shares have not expired."""
         is_latest = grant.term == self.term and grant.number == self.request_number
         return is_latest and not self.leaving and now < self.requested_at + self.share_lease
 
     def accept_revocation(self, revocation: LeaseRevocation, now: int) -> None:
-        """Let go of the loans at once, and request soon, so that shares that are not needed move, too."""
+        """Drop the revoked loans at once, and send a request soon, so that unneeded shares move as well."""
         if revocation.term != self.term:
             return
         for key in [key for key in self.loans if key.lender in revocation.lenders]:
@@ -159,18 +160,18 @@
         self._advance_request(now)
 
     def drop(self) -> None:
-        """Let go of everything at once."""
+        """Drop all leases at once."""
         self.shares = {}
         self.shares_until = 0
         self.loans = {}
 
     def leave(self, now: int) -> LeaseRequest | None:
-        """Let go of everything; return the last request, which notifies the leader of that."""
+        """Drop all leases; return the last request, which notifies the leader of that."""
         self.drop()
         self.leaving = True
         return self._build_request(self.term, {}, now) if self.term is not None else None
 
 
 def _has_less(current: Mapping[Key, int], previous: Mapping[Key, int]) -> bool:
-    """Return whether anything is smaller than it was, or is there no more."""
+    """Return whether any amount is smaller than before or has disappeared."""
     return any(current.get(key, 0) < amount for key, amount in previous.items())
--- a/locktide/cluster/quota/local_quota.py
+++ b/locktide/cluster/quota/local_quota.py
@@ -1,7 +1,7 @@
-"""What one member may spend of each quota.
+"""The amount of each quota that one member may spend.
 
-That is its guaranteed minimum, which needs no communication, its share in force, and what it was lent of
-other quotas.
+It consists of the guaranteed minimum, which needs no communication, the share in force, and loans of other
+quotas.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
     Attributes:
         name: the name of the quota.
-        rate: its rate, in tokens a second; 0 where it is only divided, and what it limits is counted
+        rate: its rate, in tokens a second; 0 for a quota that is only divided, whose use is counted
             elsewhere.
         burst: its burst, in tokens.
-        lendable: whether what is not used of it may be lent; never so for the capacity of workers that are
+        lendable: whether its unused part may be lent; always False for the capacity of workers that are
             warming up.
     """
 
@@ -41,22 +41,22 @@
 
 
 class LocalQuota:
-    """Shares in force with their token buckets, loans in force with theirs, and the demand seen here.
+    """Shares and loans in force with their token buckets, and the demand seen by this member.
 
     Times are microseconds of the member's clock.
 
     Attributes:
-        guaranteed_minimum: what this member has of each quota without a lease, in millionths of its whole.
-        divisible: what is left of each quota beside the minimums of all members, in the same unit.
+        guaranteed_minimum: this member's part of each quota without a lease, in millionths of its whole.
+        divisible: the part of each quota less the minimums of all members, in the same unit.
         specs: the quotas by name.
-        shares: the shares in force, the minimum included.
-        shares_until: when the lease of the shares expires; 0 where there is none.
-        buckets: the tokens of the shares, by quota; none for a quota that is only divided.
+        shares: the shares in force, including the minimum.
+        shares_until: when the lease of the shares expires; 0 if there is none.
+        buckets: the token buckets of the shares, by quota; none for a quota that is only divided.
         demand_counts: the tokens that were demanded, halved at each decay.
-        demand_peaks: the same just before the last decay.
+        demand_peaks: the values of `demand_counts` just before the last decay.
         loans: the loans in force.
-        loans_until: when the loans expire; 0 where there are none.
-        loan_buckets: the tokens of the loans.
+        loans_until: when the loans expire; 0 if there are none.
+        loan_buckets: the token buckets of the loans.
     """
 
     def __init__(self, specs: list[QuotaSpec], reserve: float, max_processes: int, now: int) -> None:
@@ -65,7 +65,7 @@
         Args:
             specs: the quotas.
             reserve: the fraction of each whole that is spread evenly as guaranteed minimums.
-            max_processes: how many processes may run at once, over which it is spread.
+            max_processes: how many processes may run at once; the reserve is spread over that many.
             now: the time.
         """
         self.guaranteed_minimum = int(WHOLE * reserve) // max_processes
@@ -87,13 +87,13 @@
     def update(
         self, held: NamedShares, shares_until: int, loans: NamedLoans, loans_until: int, now: int
     ) -> bool:
-        """Put in force what is held from now on; return whether anything has changed.
+        """Put the leases in force that the member holds from now on; return whether anything has changed.
 
         Args:
-            held: the shares that are leased, beside the guaranteed minimum.
-            shares_until: when that lease expires.
-            loans: the loans that are leased.
-            loans_until: when these expire.
+            held: the leased shares, in addition to the guaranteed minimum.
+            shares_until: when the lease of the shares expires.
+            loans: the leased loans.
+            loans_until: when the loans expire.
             now: the time.
         """
         changed = self.expire(now)
@@ -115,7 +115,7 @@
             self.buckets[name].set_share(share, now)
 
     def _set_loans(self, loans: NamedLoans, now: int) -> None:
-        """Put loans in force: a larger one brings no tokens, one that is over takes its tokens with it."""
+        """Put loans in force; a loan that grows brings no tokens, and one that ends drops its tokens."""
         for names in self.loan_buckets.keys() - loans.keys():
             del self.loan_buckets[names]
         for names, share in loans.items():
@@ -127,25 +127,26 @@
         self.loans = dict(loans)
 
     def expire(self, now: int) -> bool:
-        """End what has expired, from the very moment of its expiry on; return whether anything has changed.
+        """End the expired leases, as of the moment of their expiry; return whether anything has changed.
 
-        Called before tokens are spent, too. A process that was stopped past an expiry may get a request
-        before its timer: with tokens of an expired lease, all members together would spend more than the
-        whole. tests/cluster/test_quota.py and test_borrowing.py stop a process like that.
+        This is called before tokens are spent as well. A process that was stopped past an expiry may receive
+        a request before its timer fires: if it spent tokens of an expired lease, all members together would
+        spend more than the whole. tests/cluster/test_quota.py and test_borrowing.py stop a process in this
+        way.
         """
         loans_ended = self._expire_loans(now)
         shares_ended = self._expire_shares(now)
         return loans_ended or shares_ended
 
     def _expire_loans(self, now: int) -> bool:
-        """End the loans at their expiry, or at that of the shares if it is earlier."""
+        """End the loans at their expiry, or at the expiry of the shares if that is earlier."""
         if not self.loans or now < min(self.loans_until, self.shares_until):
             return False
         self._set_loans({}, now)
         return True
 
     def _expire_shares(self, now: int) -> bool:
-        """Return to the guaranteed minimums at the expiry of the shares."""
+        """Set all shares to the guaranteed minimum at their expiry."""
         minimum = self.guaranteed_minimum
         if now < self.shares_until or all(share == minimum for share in self.shares.values()):
             return False
@@ -154,19 +155,19 @@
         return True
 
     def record_demand(self, name: str, tokens: int = 1) -> bool:
-        """Count tokens as demand, which the division follows; return whether there was none before."""
+        """Count tokens as demand, which the division follows; return whether there was no demand before."""
         previous = self.demand_counts.get(name, 0)
         self.demand_counts[name] = previous + tokens
         return previous == 0
 
     def decay_demand(self) -> None:
-        """Halve the demand; called with each regular request."""
+        """Halve the demand; this is called with each regular request."""
         self.demand_peaks = dict(self.demand_counts)
         self.demand_counts = {name: count // 2 for name, count in self.demand_counts.items()}
 
     @property
     def demand(self) -> NamedDemand:
-        """The demand as it is reported: while steady, the same at any moment between two decays."""
+        """The demand as reported to the leader; steady demand gives the same value at any moment."""
         return {
             name: max(count, self.demand_peaks.get(name, 0)) for name, count in self.demand_counts.items()
         }
@@ -174,8 +175,8 @@
     def spend(self, name: str, now: int, tokens: int = 1) -> str | None:
         """Take tokens for a request of that quota.
 
-        Returns the name of the quota that they came from, its own or one that was lent to it, or None where
-        no bucket had enough.
+        Returns the name of the quota whose tokens were taken, that one or one that lends to it, or None if no
+        bucket had enough.
         """
         self.expire(now)
         bucket = self.buckets.get(name)
--- a/locktide/cluster/quota/outstanding_grants.py
+++ b/locktide/cluster/quota/outstanding_grants.py
@@ -1,4 +1,4 @@
-"""The allocator's accounts of all members, with the sum of what they may hold at worst."""
+"""The allocator's accounts of all members, with the sum of the most that they may hold."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 from locktide.cluster.quota.account import HolderAccount
 from locktide.cluster.quota.types import Loans, QuotaShares
 
-#: For how many lifetimes of a share a silent member's account is kept once nothing of it can be in force.
+#: How long a silent member's account is kept once none of its grants can be in force, in lifetimes of a
+#: share.
 RETENTION_LIFETIMES = 10
 
 
 class OutstandingGrants:
     """Accounts by member, and their sums.
 
-    An account is brought up to date when it changes and when something in it expires. Between an expiry and
-    that moment the total is too large, never too small.
+    An account is updated when it changes and when a grant in it expires. Between an expiry and the update the
+    total is too large, never too small.
 
     Attributes:
         divisible: how much of each quota is divided, in millionths of its whole.
         share_lifetime: how long a grant of shares counts, in microseconds.
         accounts: the account of each member.
-        totals: the sum over all accounts of what each member may hold at worst, by quota, in millionths.
-        expiries: a heap of the times at which an account may count less, with its member.
+        totals: the sum over all accounts of the most that each member may hold, by quota, in millionths.
+        expiries: a heap of the times at which an account may count less, each with its member.
     """
 
     def __init__(self, divisible: QuotaShares, share_lifetime: int) -> None:
@@ -34,18 +35,18 @@
         self.expiries: list[tuple[int, MemberId]] = []
 
     def expire(self, now: int) -> None:
-        """Bring up to date the accounts of which something has expired."""
+        """Update the accounts in which a grant has expired."""
         while self.expiries and self.expiries[0][0] <= now:
             _, member_id = heappop(self.expiries)
             if member_id in self.accounts:
                 self.update(member_id, now)
 
     def account(self, member_id: MemberId) -> HolderAccount:
-        """Return the member's account, a new one if there is none."""
+        """Return the member's account; create it if there is none."""
         return self.accounts.setdefault(member_id, HolderAccount())
 
     def update(self, member_id: MemberId, now: int) -> None:
-        """Bring the totals up to date with one account; forget it once nothing of it can be in force."""
+        """Update the totals with one account; drop the account if it has expired and its member is silent."""
         account = self.accounts[member_id]
         worst = account.worst_case(now)
         for quota in self.divisible:
@@ -54,19 +55,19 @@
         expiries = [expiry for grant in account.outstanding(now) for expiry in grant.expiries_after(now)]
         if expiries:
             heappush(self.expiries, (min(expiries), member_id))
-        elif now - account.heard_at > RETENTION_LIFETIMES * self.share_lifetime:
+        elif now - account.request_received_at > RETENTION_LIFETIMES * self.share_lifetime:
             del self.accounts[member_id]
         else:
-            forget_at = account.heard_at + (RETENTION_LIFETIMES + 1) * self.share_lifetime
+            forget_at = account.request_received_at + (RETENTION_LIFETIMES + 1) * self.share_lifetime
             heappush(self.expiries, (forget_at, member_id))
 
     def available(self, member_id: MemberId, quota: QuotaIndex) -> int:
-        """Return what is left of the quota beside what all other members may hold."""
+        """Return the divisible part of the quota less the most that all other members may hold."""
         others = self.totals[quota] - self.accounts[member_id].counted.get(quota, 0)
         return self.divisible[quota] - others
 
     def loans(self, now: int) -> Loans:
-        """Return all that may be lent at this moment, summed over the members."""
+        """Return the loans that may be in force at this moment, summed over the members."""
         total: Loans = {}
         for account in self.accounts.values():
             for key, share in account.worst_case_loans(now).items():
--- a/locktide/cluster/quota/quota_client.py
+++ b/locktide/cluster/quota/quota_client.py
@@ -1,4 +1,4 @@
-"""Connects a member's leases with its local quota: reports demand, and puts what is leased in force."""
+"""Connects a member's leases with its local quota: reports its demand, and puts its leases in force."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SettledQuotas:
-    """What `QuotaClient.settle` has done.
+    """Changes made by `QuotaClient.settle`.
 
     Attributes:
-        changed: whether shares or loans in force are others.
-        renewed: whether the leases of those in force end at other times.
+        changed: whether the shares or loans in force have changed.
+        renewed: whether the expiry times of the leases in force have changed.
     """
 
     changed: bool
@@ -37,11 +37,11 @@
 
     @property
     def expiries(self) -> list[int]:
-        """When shares and loans in force expire."""
+        """The times at which shares and loans in force expire."""
         return [until for until in (self.local_quota.shares_until, self.local_quota.loans_until) if until]
 
     def next_request(self, now: int) -> LeaseRequest | None:
-        """Return the next lease request with the demand seen here; None before it is due."""
+        """Return the next lease request with this member's demand; None before it is due."""
         demand = {
             self.quota_names.indices[name]: amount
             for name, amount in self.local_quota.demand.items()
@@ -57,16 +57,16 @@
         return request
 
     def spend(self, name: str, now: int) -> str | None:
-        """Take one token for a request of a quota, and request soon where it had no demand lately.
+        """Take one token for a request of a quota; request leases soon if it had no demand recently.
 
-        Returns the quota that the token is of, its own or one that lends to it; None where there is none.
+        Returns the quota whose token was taken, that one or one that lends to it; None if there was none.
         """
         if self.local_quota.record_demand(name):
             self.lease_holder.request_soon(now)
         return self.local_quota.spend(name, now)
 
     def settle(self, now: int) -> SettledQuotas:
-        """Put the leases and loans that are held now in force."""
+        """Put the shares and loans in force that are held now."""
         shares = self.lease_holder.current_shares(now)
         loans = self.lease_holder.current_loans(now)
         previous_expiries = self.expiries
@@ -80,6 +80,6 @@
         return SettledQuotas(changed=changed, renewed=self.expiries != previous_expiries)
 
     def step_down(self) -> None:
-        """Drop everything for good, the guaranteed minimum as well."""
+        """Drop all quotas for good, including the guaranteed minimum."""
         self.lease_holder.drop()
         self.local_quota.guaranteed_minimum = 0
--- a/locktide/cluster/quota/revocations.py
+++ b/locktide/cluster/quota/revocations.py
@@ -1,4 +1,4 @@
-"""Revocations of loans, queued by the allocator until its caller sends them."""
+"""Revocations of loans, which the allocator queues until its caller sends them."""
 
 from __future__ import annotations
 
@@ -6,17 +6,19 @@
 from locktide.cluster.messages import Ballot, LeaseRevocation, MemberId, QuotaIndex
 from locktide.cluster.quota.outstanding_grants import OutstandingGrants
 
-#: A revocation with the member that it is for.
+#: A revocation and its receiver.
 PendingRevocation = tuple[MemberId, LeaseRevocation]
 
 
 class RevocationQueue:
-    """Notifies members to let go of loans. A revocation only makes haste: a loan ends by itself.
+    """Queues revocations of loans to members.
+
+    A revocation only ends a loan sooner: without it the loan ends when it expires.
 
     Attributes:
         term: the term of the leader.
-        grants: what each member may hold at worst.
-        loan_allocator: plans the loans; None where nothing may be lent.
+        grants: the most that each member may hold.
+        loan_allocator: plans the loans; None if nothing may be lent.
         pending: the revocations that are to be sent.
     """
 
@@ -27,26 +29,27 @@
         self.pending: list[PendingRevocation] = []
 
     def revoke(self, lenders: list[QuotaIndex], now: int) -> None:
-        """Queue a revocation to all that may hold something of these quotas."""
+        """Queue a revocation to all members that may hold a part of these quotas."""
         for member_id, account in self.grants.accounts.items():
             worst = account.worst_case(now)
             self._add(member_id, [lender for lender in lenders if worst.get(lender)])
 
     def revoke_again(self, lenders: list[QuotaIndex], now: int) -> None:
-        """Queue another revocation to those that have sent no request since the lender's return."""
+        """Queue another revocation to members that have sent no request since the lender was reclaimed."""
         if self.loan_allocator is None or not lenders:
             return
         for member_id, account in self.grants.accounts.items():
             worst = account.worst_case(now)
-            unheard = [
+            unconfirmed = [
                 lender
                 for lender in lenders
-                if worst.get(lender) and account.heard_at < self.loan_allocator.reclaimed_at(lender)
+                if worst.get(lender)
+                and account.request_received_at < self.loan_allocator.reclaimed_at(lender)
             ]
-            self._add(member_id, unheard)
+            self._add(member_id, unconfirmed)
 
     def take(self) -> list[PendingRevocation]:
-        """Return what is to be sent, and forget it."""
+        """Return the revocations that are to be sent, and clear the queue."""
         pending = self.pending
         self.pending = []
         return pending
--- a/locktide/cluster/quota/token_bucket.py
+++ b/locktide/cluster/quota/token_bucket.py
@@ -1,9 +1,9 @@
 """A token bucket for a changing share of a rate with a burst.
 
-Whole tokens are a million units, so that all arithmetic is exact. A share that grows brings no tokens with
-it: the burst that belongs to it counts as spent, wherever it was before. A share that shrinks takes with it
-what the smaller bucket cannot hold. So over any span all members together spend at most the whole burst and
-the whole rate.
+A token is a million units, so that all arithmetic is exact. A share that grows brings no tokens with it: the
+burst of the added part counts as spent, whichever member held that part before. A share that shrinks loses
+the tokens that the smaller bucket cannot hold. So over any span all members together spend at most the whole
+burst and the whole rate.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 
 class TokenBucket:
-    """Tokens of one share of a quota.
+    """The token bucket of one share of a quota.
 
     Attributes:
         rate: the rate of the whole quota, in units a second.
         burst: the burst of the whole quota, in units.
-        share: the share that this bucket has of both, in millionths.
-        level: what may be spent at `filled_at`, in units.
-        filled_at: until when tokens are counted, in microseconds.
-        remainder: what the last refill made of a unit, in millionths of millionths.
+        share: this bucket's share of both, in millionths.
+        level: the units that may be spent at `filled_at`.
+        filled_at: the time of the last refill, in microseconds.
+        remainder: the fraction of a unit left over from the last refill, in millionths of millionths.
     """
 
     def __init__(self, rate: float, burst: float, share: int, now: int) -> None:
         """Start empty; `rate` is in tokens a second and `burst` in tokens, both of the whole quota."""
-        # By the slowest clock that may be right: a fast one must not make more tokens.
+        # The rate is lowered by the largest clock drift, so that a fast clock does not produce extra tokens.
         self.rate = int(rate * UNITS_PER_TOKEN) * (MILLION - MAX_CLOCK_DRIFT) // MILLION
         self.burst = int(burst * UNITS_PER_TOKEN)
         self.share = share
@@ -40,27 +40,27 @@
         self.remainder = 0
 
     def refill(self, now: int) -> None:
-        """Add the tokens made since the last refill, up to the share's burst."""
+        """Add the tokens produced since the last refill, up to the share's burst."""
         if now <= self.filled_at:
             return
-        made = self.rate * self.share * (now - self.filled_at) + self.remainder
-        added, self.remainder = divmod(made, MILLIONTHS * MICROSECONDS_PER_SECOND)
+        produced = self.rate * self.share * (now - self.filled_at) + self.remainder
+        added, self.remainder = divmod(produced, MILLIONTHS * MICROSECONDS_PER_SECOND)
         self.filled_at = now
         self.level = min(self.capacity, self.level + added)
 
     @property
     def capacity(self) -> int:
-        """Units that the share's burst holds."""
+        """The share's burst, in units."""
         return self.burst * self.share // MILLIONTHS
 
     def set_share(self, share: int, now: int) -> None:
-        """Change the share from `now` on; drops the tokens that a smaller one cannot hold."""
+        """Change the share from `now` on; drop the tokens that a smaller bucket cannot hold."""
         self.refill(now)
         self.share = share
         self.level = min(self.level, self.capacity)
 
     def spend(self, now: int, tokens: int = 1) -> bool:
-        """Take the tokens if all of them are there; return whether they were."""
+        """Take the tokens if all of them are available; return whether they were."""
         self.refill(now)
         units = tokens * UNITS_PER_TOKEN
         if self.level < units:
--- a/locktide/cluster/quota/types.py
+++ b/locktide/cluster/quota/types.py
@@ -1,4 +1,4 @@
-"""Values that the allocator and the lease holders exchange; quotas are numbered by their sorted names."""
+"""Values that the allocator and the lease holders exchange; quotas have the indices of their sorted names."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LoanKey(NamedTuple):
-    """A loan's lending quota, and the quota whose requests borrow it."""
+    """A loan's lending quota, and the quota whose requests borrow from it."""
 
     lender: QuotaIndex
     borrower: QuotaIndex
--- a/locktide/cluster/quota_names.py
+++ b/locktide/cluster/quota_names.py
@@ -6,19 +6,20 @@
 
 from locktide.cluster.quota.types import Loans
 
-#: An amount for each quota by its index.
-QuotaIndices = dict[int, int]
+#: Amounts by the index of the quota.
+QuotaAmounts = dict[int, int]
 
 
 class QuotaNames:
     """The sorted names of all quotas.
 
-    Members whose checksums differ have different quotas configured, and do not divide them together.
+    A leader does not answer the lease request of a member whose checksum differs from its own, as that member
+    has different quotas configured.
 
     Attributes:
-        names: the names in their order.
+        names: the sorted names.
         indices: the index of each name in messages.
-        checksum: the CRC-32 of all names.
+        checksum: the CRC-32 of the sorted names.
     """
 
     def __init__(self, names: list[str]) -> None:
@@ -29,7 +30,7 @@
     def __len__(self) -> int:
         return len(self.names)
 
-    def amounts_by_name(self, amounts: QuotaIndices) -> dict[str, int]:
+    def amounts_by_name(self, amounts: QuotaAmounts) -> dict[str, int]:
         """Return amounts by name; unknown indices are left out."""
         return {self.names[index]: amount for index, amount in amounts.items() if index < len(self.names)}
 
@@ -42,5 +43,5 @@
         }
 
     def known_indices(self, names: list[str]) -> list[int]:
-        """Return the indices of those names that are quotas, in the given order."""
+        """Return the indices of the names that are quotas, in the given order."""
         return [self.indices[name] for name in names if name in self.indices]
--- a/locktide/cluster/reporting.py
+++ b/locktide/cluster/reporting.py
@@ -1,4 +1,4 @@
-"""Writes what changes at a member to the log and to the trace file."""
+"""Writes changes of a member's state to the log and to the trace file."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from locktide.cluster.member import ClusterMember
 from locktide.cluster.membership.events import MembershipEvent, MembershipEventKind
 
-#: Kind of all lines of the cluster in the log: lines of one kind are rate-limited together.
+#: Kind of all log lines of the cluster; lines of one kind are rate-limited together.
 LOG_KIND = "cluster"
-#: Millionths in a percent.
+#: Millionths in one percent.
 PERCENT = 10_000
 
 
 class Log(Protocol):
-    """Where log lines go; `event` and the fields say the same as the line, for programs."""
+    """The destination of log lines; `event` and the fields state the content of the line for programs."""
 
     def emit(self, line: str, kind: str = "", event: str = "", **fields: object) -> None:
-        """Write a line."""
+        """Write a log line."""
 
 
 class Reporter:
@@ -26,10 +26,11 @@
 
     Attributes:
         member: the member.
-        log: where lines go.
-        trace: gets a line of JSON for each change of the quotas in force and of their end; None for no trace.
-        logged_loans: lender and borrower of the loans that the log names last.
-        logged_over_share: the tenants over their fair share that the log names last.
+        log: the destination of log lines.
+        trace: receives a line of JSON for each change of the quotas in force or of their expiry; None for no
+            trace.
+        logged_loans: lenders and borrowers in the last log line on loans.
+        logged_over_share: tenants over their fair shares in the last log line on fairness.
     """
 
     def __init__(self, member: ClusterMember, log: Log, trace: TextIO | None) -> None:
@@ -56,11 +57,11 @@
         )
 
     def report_quotas(self, now: int) -> None:
-        """Log the quotas in force, and loans and fairness where these have changed."""
+        """Log the quotas in force, and loans and fairness if these have changed; write the trace."""
         shares = self.member.local_quota.shares
-        shown = ", ".join(f"{name} {share / PERCENT:.1f}%" for name, share in shares.items())
+        listing = ", ".join(f"{name} {share / PERCENT:.1f}%" for name, share in shares.items())
         self.log.emit(
-            f"cluster: quotas in force: {shown}", LOG_KIND, event="quotas_changed", quotas=dict(shares)
+            f"cluster: quotas in force: {listing}", LOG_KIND, event="quotas_changed", quotas=dict(shares)
         )
         self.report_loans()
         self.report_fairness()
@@ -72,19 +73,21 @@
             self.write_trace(self.trace, now)
 
     def report_loans(self) -> None:
-        """Log who lends to whom, once each time that changes."""
+        """Log which quotas lend to which, if that has changed since the last line."""
         loans = sorted(self.member.local_quota.loans.items())
         pairs = [pair for pair, _ in loans]
         if pairs == self.logged_loans:
             return
         self.logged_loans = pairs
-        shown = ", ".join(
+        listing = ", ".join(
             f"{share / PERCENT:.1f}% of {lender} for {borrower}" for (lender, borrower), share in loans
         )
-        self.log.emit(f"cluster: borrowed {shown or 'nothing'}", LOG_KIND, event="loans_changed", loans=pairs)
+        self.log.emit(
+            f"cluster: borrowed {listing or 'nothing'}", LOG_KIND, event="loans_changed", loans=pairs
+        )
 
     def report_fairness(self) -> None:
-        """Log which tenants hold more than their fair shares, once each time that changes."""
+        """Log which tenants hold more than their fair shares, if that has changed since the last line."""
         if self.member.tenants_over_share == self.logged_over_share:
             return
         self.logged_over_share = self.member.tenants_over_share
@@ -93,7 +96,7 @@
         self.log.emit(line, LOG_KIND, event="fairness_changed", tenants_over_share=tenants)
 
     def write_trace(self, trace: TextIO, now: int) -> None:
-        """Write the quotas in force, and until when, as a line of JSON."""
+        """Write the quotas in force and their expiry as a line of JSON."""
         quota = self.member.local_quota
         entry = {
             "at": now,
--- a/locktide/cluster/udp_transport.py
+++ b/locktide/cluster/udp_transport.py
@@ -1,4 +1,4 @@
-"""Runs a cluster member on a UDP socket: bytes and timers; nothing is decided here."""
+"""Runs a cluster member on a UDP socket: it handles datagrams and timers, and makes no decisions."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from locktide.cluster.messages import InspectionPage, InspectionRequest, decode, encode
 from locktide.cluster.reporting import Log, Reporter
 
-#: Characters of ASCII in one page of an inspection: with the rest of the message it fits one datagram.
+#: ASCII characters in one page of an inspection: with the rest of the message a page fits one datagram.
 INSPECTION_PAGE_LENGTH = 900
-#: Least time to the next wakeup, in seconds: one that is overdue must not spin.
+#: Shortest time to the next wakeup, in seconds, so that an overdue wakeup does not make the loop spin.
 MIN_TIMER_SECONDS = 0.001
 MICROSECONDS_PER_SECOND = 1e6
 
 
 class UdpTransport(asyncio.DatagramProtocol):
-    """Runs one member, by the loop's clock, which is the machine's monotonic one.
+    """Runs one member by the clock of the event loop, which is the machine's monotonic clock.
 
     Attributes:
         transport: the socket.
@@ -34,7 +34,7 @@
         timer: calls the member at its next wakeup.
         rejected_datagrams: datagrams that could not be decoded.
         reporter: writes changes to the log and the trace.
-        link: connects the member to its dispatcher; None for a member without one.
+        link: connects the member to its dispatcher; None for a member without a dispatcher.
     """
 
     transport: asyncio.DatagramTransport
@@ -42,7 +42,7 @@
     def __init__(
         self, config: ClusterConfig, log: Log, event_source: EventSource | None, trace: TextIO | None = None
     ) -> None:
-        """`event_source` is the dispatcher, if any; `trace` gets each change of the quotas in force."""
+        """`event_source` is the dispatcher, if any; `trace` receives each change of the quotas in force."""
         self.loop = asyncio.get_running_loop()
         self.config = config
         self.member = ClusterMember(config, self.now())
@@ -61,7 +61,7 @@
     # --- socket and timer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to run the member."""
+        """Start running the member."""
         self.transport = cast(asyncio.DatagramTransport, transport)
         self.report_quotas()
         self.schedule_wakeup()
@@ -77,10 +77,10 @@
             self.send_and_report(self.member.handle(envelope, self.now()))
 
     def error_received(self, _: Exception) -> None:
-        """Ignore that nobody listens at an address any more: failure detection finds it."""
+        """Ignore that nobody listens at an address any more: failure detection notices it."""
 
     def on_timer(self) -> None:
-        """Wake the member."""
+        """Call the member at its wakeup."""
         self.send_and_report(self.member.tick(self.now()))
 
     def schedule_wakeup(self) -> None:
@@ -91,7 +91,7 @@
         self.timer = self.loop.call_at(wakeup, self.on_timer)
 
     def send_and_report(self, outgoing: Outgoing) -> None:
-        """Send messages, report what the member's last call has changed, and set the timer."""
+        """Send messages, report the changes made by the member's last call, and set the timer."""
         self.send(outgoing)
         if self.member.update.quotas_changed:
             self.report_quotas()
@@ -115,10 +115,11 @@
             self.link.emit_quota_shares()
 
     def report_renewal(self) -> None:
-        """Report the new end of leases that are as before, where it is taken for their end otherwise.
+        """Report the new expiry of leases whose shares have not changed, to the trace and the scheduler.
 
-        Notified of changes only, the scheduler fell back to the guaranteed minimum at the end that it knew
-        of, while the lease was renewed (tests/cluster/test_dispatcher_link.py).
+        If the scheduler were notified of changed shares only, it would fall back to the guaranteed minimum at
+        the last expiry that it knows of, although the lease was renewed
+        (tests/cluster/test_dispatcher_link.py).
         """
         self.reporter.trace_quotas(self.now())
         if self.link is not None:
@@ -127,7 +128,7 @@
     # --- inspection, and the end
 
     def answer_inspection(self, request: InspectionRequest, address: Address) -> None:
-        """Send the member's view in pages; on loopback only, as it is no other machine's business."""
+        """Send the member's view in pages, only to a client on loopback: other machines must not read it."""
         if not ip_address(address[0]).is_loopback:
             return
         view = inspect(self.member, self.now()) | {"refused_datagrams": self.rejected_datagrams}
@@ -162,7 +163,7 @@
     """Open the socket, and run a member on it.
 
     Raises:
-        OSError: the address cannot be bound; most likely another process of the same name has it.
+        OSError: the address cannot be bound; most likely another process of the same name uses it.
     """
     loop = asyncio.get_running_loop()
     _, transport = await loop.create_datagram_endpoint(
--- a/tests/cluster/test_fairness.py
+++ b/tests/cluster/test_fairness.py
@@ -13,7 +13,7 @@
 
 from locktide.cluster.fairness import replicated_ledger as replicated_ledger_module
 from locktide.cluster.fairness import standing as standing_module
-from locktide.cluster.fairness.dominant_share import ONE, dominant_share, progressive_filling
+from locktide.cluster.fairness.dominant_share import FULL_SHARE, dominant_share, progressive_filling
 from locktide.cluster.fairness.replicated_ledger import (
     CAPACITY_INDEX,
     ReplicatedLedger,
@@ -113,7 +113,9 @@
     """Nine processors, eighteen of memory; tasks of (1, 4) and (3, 1): three of one and two of the other."""
     demands = {0: [100_000, 400_000], 1: [300_000, 100_000]}
     shares = progressive_filling([9_000, 18_000], demands, {0: 1, 1: 1})
-    assert all(abs(Fraction(share, ONE) - Fraction(2, 3)) < Fraction(1, 10**9) for share in shares.values())
+    assert all(
+        abs(Fraction(share, FULL_SHARE) - Fraction(2, 3)) < Fraction(1, 10**9) for share in shares.values()
+    )
 
 
 VECTORS = st.lists(st.integers(0, 5_000), min_size=2, max_size=2)
@@ -137,7 +139,7 @@
     weights = dict(enumerate(weight_list))
     fair = progressive_filling(capacity, demands, weights)
     for tenant, share in solved(capacity, demands, weights).items():
-        assert abs(fair[tenant] / ONE - share) < TOLERANCE
+        assert abs(fair[tenant] / FULL_SHARE - share) < TOLERANCE
     for place, whole in enumerate(capacity):
         used = sum(
             fair[tenant] / max(1, dominant_share(demand, capacity)) * demand[place]
@@ -150,8 +152,8 @@
 def test_each_tenant_has_at_least_an_even_share_or_all_it_demands(capacity: list[int], demands: Any) -> None:
     fair = progressive_filling(capacity, demands, dict.fromkeys(demands, 1))
     for tenant, demand in demands.items():
-        wanted = dominant_share(demand, capacity) / ONE
-        assert fair[tenant] / ONE >= min(wanted, 1 / len(demands)) - TOLERANCE
+        wanted = dominant_share(demand, capacity) / FULL_SHARE
+        assert fair[tenant] / FULL_SHARE >= min(wanted, 1 / len(demands)) - TOLERANCE
 
 
 @given(CAPACITIES, DEMANDS)
--- a/tests/test_datagram_bytes.py
+++ b/tests/test_datagram_bytes.py
@@ -144,7 +144,7 @@
     (
         words.Delta(
             schema_checksum=14,
-            writer_deltas=[words.WriterDelta(name="d1", start=7, after_version=15, rows=[ENTRY])],
+            writer_deltas=[words.WriterDelta(name="d1", generation=7, after_version=15, rows=[ENTRY])],
         ),
         "8267cded9402a26430cf00060a24181e400193a4526f77730e9194a26431070f9194cdffff0292cd03e80091cd01f4",
     ),
