--- a/locktide/durable/acceptance.py
+++ b/locktide/durable/acceptance.py
@@ -1,8 +1,8 @@
 """Accepts durable jobs: a job is on the disk before it is acknowledged or dispatched.
 
-Where it cannot be written, the client gets a 503 and the job was never accepted. A request with the
-idempotency key of an earlier job is no new job: its client waits for that one, or gets a 422 if its content
-differs.
+If a job cannot be written, the client gets a 503 and the job counts as never accepted. A request with the
+idempotency key of an earlier job creates no new job: its client waits for the earlier one, or gets a 422 if
+the content of the request differs.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 from locktide.protocol.messages import SubmitRequest
 from locktide.transport.interfaces import Response
 
-#: Microseconds that a job is given at least, whose deadline passed while the disk was waited for: the
-#: dispatcher ends it like any other at its deadline.
+#: Smallest timeout with which a job is submitted, in microseconds. If the deadline of a job passed while its
+#: record was being written, the dispatcher ends the job at this timeout like any other job at its deadline.
 MIN_TIMEOUT = 1
 
 
 @dataclass(frozen=True, slots=True)
 class JobRequest:
-    """A request for a durable job, with what its headers say.
+    """A request for a durable job, with the values of its headers.
 
     Attributes:
-        request: The request as it came.
-        preference: Whether and how long its client waits.
-        idempotency_key: Its idempotency key; empty for none.
+        request: The request as it was received.
+        preference: Whether and how long the client waits.
+        idempotency_key: The idempotency key; empty if there is none.
         digest: SHA-256 of method, target and body, in hexadecimal.
     """
 
@@ -59,7 +59,7 @@
         )
 
     def accepted_record(self, now: int, timeout: int) -> JobAccepted:
-        """Return the record that accepts this job; both times are in microseconds."""
+        """Return the record that accepts this job; `now` and `timeout` are in microseconds."""
         request = self.request
         prefer = names.PREFER.lower().encode()
         forwarded = [(name, value) for name, value in request.forwarded_headers if name.lower() != prefer]
@@ -79,7 +79,7 @@
 
 
 class JobAcceptance:
-    """Accepts new jobs, and lets repeated requests wait for the job that they repeat."""
+    """Accepts new jobs, and has the clients of repeated submissions wait for the earlier job."""
 
     def __init__(self, context: JobContext, waiters: JobWaiters, completion: JobCompletion) -> None:
         self.config = context.config
@@ -92,7 +92,7 @@
         self.log = context.log
 
     def submit(self, request: SubmitRequest) -> asyncio.Future[Response] | None:
-        """Return the response to come; None where the request's id is in use or was."""
+        """Return a future for the response; None if the request's id is or was in use."""
         job_request = JobRequest.read(request)
         response: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
         existing = self._find_existing(job_request)
@@ -128,7 +128,7 @@
             timeout = max(timeout, self.config.detached_timeout)
         record = job_request.accepted_record(self.dispatcher.now(), timeout)
         write = self.write_ahead_log.append(record)
-        self.state.accepting[request.id] = write
+        self.state.acceptance_writes[request.id] = write
         self.waiters.add(request.id, request, job_request.preference, response)
         self.tasks.spawn(self._dispatch_once_written(record, write, job_request.preference.respond_async))
 
@@ -142,8 +142,8 @@
             self._undo_acceptance(record, error)
             return
         finally:
-            self.state.accepting.pop(record.job_id, None)
-        # The deadline comes nearer while the disk is waited for.
+            self.state.acceptance_writes.pop(record.job_id, None)
+        # The time that the write took is subtracted from the timeout.
         remaining = max(MIN_TIMEOUT, record.deadline - self.dispatcher.now())
         response = self.dispatcher.submit(record, remaining, is_background)
         if response is None:
@@ -154,7 +154,7 @@
     def _undo_acceptance(self, record: JobAccepted, error: LogWriteError) -> None:
         self.state.table.drop(record.job_id)
         self.log.emit(
-            f"job {record.job_id}: not accepted: {error}",
+            f"job {record.job_id}: not accepted, because it could not be written: {error}",
             event="job_write_failed",
             job=record.job_id,
             error=str(error),
--- a/locktide/durable/background_tasks.py
+++ b/locktide/durable/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside the requests."""
+"""Background tasks of a job service."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class BackgroundTasks:
-    """Refers to its tasks until they end, as the event loop does not keep a running task alive.
+    """Keeps a reference to each task until it ends, because the event loop itself holds only weak references.
 
     Attributes:
-        tasks: The tasks that run, in the order of their start.
+        tasks: The running tasks, in the order in which they were started.
     """
 
     def __init__(self) -> None:
--- a/locktide/durable/bootstrap.py
+++ b/locktide/durable/bootstrap.py
@@ -1,4 +1,4 @@
-"""Attaches durable jobs to a dispatcher by an installation's settings."""
+"""Attaches a job service to a dispatcher, configured by an installation's settings."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from locktide.durable.units import MICROSECONDS_PER_SECOND
 from locktide.transport.log import Log
 
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 BYTES_PER_MEGABYTE = 1 << 20
 NANOSECONDS_PER_MICROSECOND = 1000
 
 
-def read_clocks(boot_id_file: Path = BOOT_ID) -> ClockReading:
+def read_clocks(boot_id_file: Path = BOOT_ID_FILE) -> ClockReading:
     """Read the machine's clocks.
 
-    On a machine without a boot id each process gets one of its own, so that the uptime of one is never
-    compared with that of another.
+    On a machine without a boot id each process makes up a boot id of its own, so that the uptime that one
+    process recorded is never compared with the uptime that another one reads.
     """
     try:
         boot_id = boot_id_file.read_text(encoding="ascii").strip()
@@ -39,7 +39,7 @@
 
 
 def job_config(settings: DurableJobsSection) -> JobConfig:
-    """Return the configuration of jobs by the installation's settings."""
+    """Return the configuration of durable jobs that the installation's settings describe."""
     return JobConfig(
         service_classes=frozenset(settings.service_classes),
         detached_timeout=_microseconds(settings.detached_timeout),
@@ -64,15 +64,15 @@
     """Open the write-ahead log, attach a job service to the dispatcher and recover its jobs.
 
     Args:
-        dispatcher: The dispatcher, before it serves.
-        settings: The section `[durable]`.
+        dispatcher: The dispatcher, which must not serve requests yet.
+        settings: The section `[durable]` of the installation.
         log: The log of the dispatcher.
-        storage: The directory of the write-ahead log; None for the one that the settings name.
-        clocks: The machine's clocks; None to read them.
+        storage: The storage of the write-ahead log; None for the directory that the settings name.
+        clocks: A reading of the machine's clocks; None to read them now.
 
     Raises:
-        LogOpenError: The write-ahead log cannot be opened; nothing has been changed.
-        OSError: The same, because of the disk.
+        LogOpenError: The write-ahead log cannot be opened; no file has been changed.
+        OSError: The write-ahead log cannot be opened because of a disk error.
     """
     storage = storage or DirectoryStorage(Path(settings.directory))
     write_ahead_log = WriteAheadLog(storage, int(settings.segment_mb * BYTES_PER_MEGABYTE))
--- a/locktide/durable/completion.py
+++ b/locktide/durable/completion.py
@@ -14,19 +14,19 @@
 from locktide.protocol import names
 from locktide.transport.interfaces import Response
 
-#: Seconds between two attempts to write a final response, or a lease of one job. Space on a full disk is
-#: freed by hand, so a shorter interval gains nothing.
+#: Seconds between two attempts to write the final response or a lease of one job. An operator has to free
+#: space on a full disk, so that a shorter interval gains nothing.
 WRITE_RETRY_INTERVAL = 0.5
-#: Seconds that a stop waits for final responses that are being written. The jobs of those that
-#: are not written by then are recovered at the next start.
+#: Seconds for which a shutdown waits for final responses that are being written. A job whose final response
+#: is not written by then is recovered at the next start.
 CLOSE_TIMEOUT = 2.0
 
 
 class JobCompletion:
-    """Finishes jobs: the first final response counts, and is sent once it is on the disk.
+    """Finishes jobs: only the first final response counts, and it is sent once it is on the disk.
 
     Attributes:
-        writes: The writes of final responses that are under way, or have failed for good, by job.
+        writes: The writes of final responses that are in progress or have failed permanently, by job id.
     """
 
     def __init__(self, context: JobContext, waiters: JobWaiters) -> None:
@@ -40,7 +40,7 @@
         self.writes: dict[str, asyncio.Task[None]] = {}
 
     def finish_with(self, job_id: str, response: asyncio.Future[Response]) -> None:
-        """Finish a job by the dispatcher's response, once that is there."""
+        """Finish a job with the dispatcher's response as soon as the response is available."""
         response.add_done_callback(lambda done: self._dispatcher_responded(job_id, done))
 
     def _dispatcher_responded(self, job_id: str, done: asyncio.Future[Response]) -> None:
@@ -48,7 +48,7 @@
             self.finish(job_id, done.result())
 
     def finish(self, job_id: str, response: Response) -> None:
-        """Begin to write the final response, unless the job has one."""
+        """Start to write the final response, unless the job already has one."""
         job = self.state.table.jobs.get(job_id)
         if job is None or job_id in self.writes or job.finished is not None:
             return
@@ -60,15 +60,15 @@
             recorded_at=self.dispatcher.now(),
         )
         write = self.tasks.spawn(self._write_and_respond(record))
-        write.add_done_callback(_mark_retrieved)  # who waits for it gets its error; often nobody does
+        write.add_done_callback(_retrieve_exception)  # a caller that awaits it still gets its error
         self.writes[job_id] = write
 
     async def _write_and_respond(self, record: JobFinished) -> None:
-        """Write a final response, and then send it to the clients that wait.
+        """Write a final response, and then send it to the waiting clients.
 
         Raises:
-            ResultNotStoredError: The log has failed for good. The job stays open on the disk, and the next
-                process ends it; its clients are answered that it goes on.
+            ResultNotStoredError: The log has failed permanently. The job stays open on the disk, and the next
+                process finishes it; the waiting clients get the response that the job is not done yet.
         """
         job_id = record.job_id
         self.write_ahead_log.reach_crash_point(CrashPoint.BEFORE_FINAL_RESPONSE)
@@ -79,20 +79,20 @@
             await asyncio.sleep(WRITE_RETRY_INTERVAL)
         self.write_ahead_log.reach_crash_point(CrashPoint.AFTER_FINAL_RESPONSE)
         self.leases.drop(job_id)
-        self.state.settled.add(job_id)
+        self.state.stored_final_responses.add(job_id)
         self.writes.pop(job_id, None)
         self.waiters.resolve(job_id, final_response(self.state.table.jobs[job_id]))
 
     async def _write(self, record: JobFinished) -> bool:
         """Write a final response; return whether it is on the disk.
 
-        Until it is, no client and no worker gets a response, and a restart would resume or end the job.
+        Until then no client and no worker gets a response, and a restart would resume or finish the job.
         """
         try:
             await self.write_ahead_log.append(record)
         except LogWriteError as error:
             self.log.emit(
-                f"job {record.job_id}: no final response: {error}",
+                f"job {record.job_id}: the final response could not be written: {error}",
                 event="response_write_failed",
                 job=record.job_id,
                 error=str(error),
@@ -101,18 +101,18 @@
         return True
 
     async def wait_for_writes(self) -> None:
-        """Wait for the final responses that are being written, for `CLOSE_TIMEOUT` at most."""
+        """Wait for the final responses that are being written, at most for `CLOSE_TIMEOUT`."""
         if self.writes:
             await asyncio.wait(list(self.writes.values()), timeout=CLOSE_TIMEOUT)
 
 
-def _mark_retrieved(write: asyncio.Task[None]) -> None:
-    """Look at the error of a write that has ended, which asyncio would report as never retrieved."""
+def _retrieve_exception(write: asyncio.Task[None]) -> None:
+    """Retrieve the error of a write that has ended; asyncio would log it as never retrieved otherwise."""
     if not write.cancelled():
         write.exception()
 
 
 def _retry_after(response: Response) -> int:
-    """Return the advice to come back later, in microseconds; 0 for none."""
+    """Return the value of Retry-After in microseconds; 0 if the response has none."""
     seconds = dict(response.headers).get(names.RETRY_AFTER)
     return int(float(seconds) * MICROSECONDS_PER_SECOND) if seconds else 0
--- a/locktide/durable/disk.py
+++ b/locktide/durable/disk.py
@@ -1,4 +1,4 @@
-"""Storage under the write-ahead log: a directory of append-only files, with durable syncs."""
+"""Storage of the write-ahead log: a directory of append-only files that can be synced to the disk."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 from locktide.durable.errors import DirectoryInUseError
 
-#: The file whose lock keeps a second dispatcher out.
+#: The file that a dispatcher locks, so that no second dispatcher can use the directory.
 LOCK_FILE = "LOCK"
-#: Only the owner may read the files: they have the payloads of the clients.
+#: Only the owner may read the files, because they contain the payloads of clients.
 FILE_MODE = 0o600
 
 
 class Storage(Protocol):
-    """A directory of files; appended data survives a crash once a `sync` begun later has ended."""
+    """A directory of files; appended data survives a crash once a later call of `sync` has ended."""
 
     def list_files(self) -> list[str]:
         """Return the names of all files, sorted."""
@@ -29,36 +29,35 @@
         """Return the whole content of a file."""
 
     def create(self, name: str) -> None:
-        """Create an empty file whose name is durable at once; raise FileExistsError."""
+        """Create an empty file whose directory entry is durable at once; raise FileExistsError."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Append to a file; raise OSError, after which part of the data may be in the file."""
+        """Append to a file; after an OSError the file may contain a part of the data."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file down to `size` bytes, durably."""
+        """Truncate a file to `size` bytes and sync it."""
 
     async def sync(self, name: str) -> None:
-        """Make what has been appended to a file durable; raise OSError."""
+        """Make all data that was appended to a file durable; raise OSError."""
 
     def remove(self, name: str) -> None:
-        """Remove a file, if it is there."""
+        """Remove a file, if it exists."""
 
     def acquire_lock(self) -> None:
-        """Keep other processes out until this one ends or releases it; raise DirectoryInUseError."""
+        """Lock the directory until this process ends or releases it; raise DirectoryInUseError."""
 
     def release_lock(self) -> None:
         """Release the lock and close all files."""
 
 
 class DirectoryStorage:
-    """Storage in a directory of the file system, which is created if it is not there.
+    """Storage in a directory of the file system; a missing directory is created.
 
     Attributes:
         path: The directory.
         append_descriptors: Descriptors of the files that were appended to, by file name.
-        lock_descriptor: Descriptor of the lock file; None while it is not locked.
-        sync_thread: Runs the syncs, so that the event loop runs on; one thread, so that none overtakes
-            another.
+        lock_descriptor: Descriptor of the lock file; None while this process does not hold the lock.
+        sync_thread: Runs the syncs, which would block the event loop; a single thread keeps them in order.
     """
 
     def __init__(self, path: Path) -> None:
@@ -77,13 +76,13 @@
         return (self.path / name).read_bytes()
 
     def create(self, name: str) -> None:
-        """Create an empty file whose name is durable at once; raise FileExistsError."""
+        """Create an empty file whose directory entry is durable at once; raise FileExistsError."""
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC
         self.append_descriptors[name] = os.open(self.path / name, flags, FILE_MODE)
         self._sync_directory()
 
     def append(self, name: str, data: bytes) -> None:
-        """Append to a file; raise OSError, after which part of the data may be in the file."""
+        """Append to a file; after an OSError the file may contain a part of the data."""
         descriptor = self._append_descriptor(name)
         remaining = memoryview(data)
         while remaining:
@@ -91,25 +90,25 @@
             remaining = remaining[written:]
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file down to `size` bytes, durably."""
+        """Truncate a file to `size` bytes and sync it."""
         descriptor = self._append_descriptor(name)
         os.ftruncate(descriptor, size)
         os.fsync(descriptor)
 
     async def sync(self, name: str) -> None:
-        """Make what has been appended to a file durable; raise OSError."""
+        """Make all data that was appended to a file durable; raise OSError."""
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(self.sync_thread, os.fdatasync, self._append_descriptor(name))
 
     def remove(self, name: str) -> None:
-        """Remove a file, if it is there."""
+        """Remove a file, if it exists."""
         if name in self.append_descriptors:
             os.close(self.append_descriptors.pop(name))
         (self.path / name).unlink(missing_ok=True)
         self._sync_directory()
 
     def acquire_lock(self) -> None:
-        """Keep other processes out until this one ends or releases it; raise DirectoryInUseError."""
+        """Lock the directory until this process ends or releases it; raise DirectoryInUseError."""
         self.lock_descriptor = os.open(
             self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE
         )
@@ -120,7 +119,9 @@
             self.lock_descriptor = None
             if error.errno in (errno.EAGAIN, errno.EACCES):
                 path = str(self.path)
-                raise DirectoryInUseError(f"{path}: another dispatcher has it", path) from error
+                raise DirectoryInUseError(
+                    f"{path}: the directory is in use by another dispatcher", path
+                ) from error
             raise
 
     def release_lock(self) -> None:
--- a/locktide/durable/durable_state.py
+++ b/locktide/durable/durable_state.py
@@ -1,4 +1,4 @@
-"""What is on the disk, and what is on its way there, of each job."""
+"""Which records of each job are on the disk, and which are still being written."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 class DurableState:
     """The table of jobs, and which of its records are not on the disk yet.
 
-    The table has each record as soon as its write begins. A response that rests on a record is sent only
-    once it is on the disk: else a crash could take back what a client was promised.
+    A record is applied to the table as soon as its write begins. A response that depends on a record is sent
+    only once the record is on the disk: otherwise a crash could undo what the response promised the client.
 
     Attributes:
-        table: The jobs, with the records that are being written.
-        accepting: The writes of acceptances that are under way, by job.
-        settled: Jobs whose final response is on the disk.
+        table: The jobs, including the records that are still being written.
+        acceptance_writes: The writes of `JobAccepted` records that are in progress, by job id.
+        stored_final_responses: Ids of the jobs whose final response is on the disk.
     """
 
     def __init__(self, table: JobTable) -> None:
         self.table = table
-        self.accepting: dict[str, asyncio.Future[None]] = {}
-        self.settled: set[str] = {job.job_id for job in table.jobs.values() if job.finished}
+        self.acceptance_writes: dict[str, asyncio.Future[None]] = {}
+        self.stored_final_responses: set[str] = {job.job_id for job in table.jobs.values() if job.finished}
 
     def is_accepted(self, job_id: str) -> bool:
-        """Whether the job's acceptance is on the disk."""
-        return job_id in self.table.jobs and job_id not in self.accepting
+        """Return whether the job's acceptance is on the disk."""
+        return job_id in self.table.jobs and job_id not in self.acceptance_writes
 
-    def is_settled(self, job_id: str) -> bool:
-        """Whether the job's final response is on the disk."""
-        return job_id in self.settled
+    def is_final_response_stored(self, job_id: str) -> bool:
+        """Return whether the job's final response is on the disk."""
+        return job_id in self.stored_final_responses
 
     def drop_expired(self, now: int, retention: int) -> None:
-        """Forget the jobs that finished `retention` microseconds ago."""
+        """Remove the jobs that finished at least `retention` microseconds ago."""
         if self.table.drop_expired(now, retention):
-            self.settled &= self.table.jobs.keys()
+            self.stored_final_responses &= self.table.jobs.keys()
--- a/locktide/durable/errors.py
+++ b/locktide/durable/errors.py
@@ -1,4 +1,4 @@
-"""Errors of durable jobs; each names the directory, file or record at fault."""
+"""Errors of durable jobs; each names the directory, file or record that caused it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """Base of the errors of durable jobs.
 
     Attributes:
-        path: The directory or file at fault; empty where the storage has none.
+        path: The directory or file that caused the error; empty if the storage has no paths.
     """
 
     def __init__(self, message: str, path: str = "") -> None:
@@ -20,7 +20,7 @@
 
 
 class LogOpenError(DurableError):
-    """The log cannot be opened; nothing in its directory was changed."""
+    """The log cannot be opened; no file in its directory was changed."""
 
 
 class DirectoryInUseError(LogOpenError):
@@ -28,18 +28,18 @@
 
 
 class NewerFormatError(LogOpenError):
-    """A segment was written by a later locktide in a later format."""
+    """A segment was written by a later version of locktide, in a later format."""
 
 
 class ForeignFileError(LogOpenError):
-    """A file with the name of a segment is not one."""
+    """A file has the name of a segment but not the content of one."""
 
 
 class DamagedLogError(LogOpenError):
-    """Records that were written whole have changed on the disk.
+    """Records that were completely written have changed on the disk.
 
     Attributes:
-        faults: Segment, byte and reason of each fault.
+        faults: Segment, byte offset and reason of each fault.
     """
 
     def __init__(self, faults: Sequence[str]) -> None:
@@ -48,11 +48,11 @@
 
 
 class LogWriteError(DurableError):
-    """The disk is full or broken: a record was not written.
+    """A record was not written because the disk is full or faulty.
 
     Attributes:
-        path: The segment that was written to.
-        reason: Why it could not be written.
+        path: The segment to which the record was to be appended.
+        reason: Why the record could not be written.
     """
 
     def __init__(self, reason: str, path: str) -> None:
@@ -61,20 +61,20 @@
 
 
 class ResultNotStoredError(DurableError, ConnectionError):
-    """A final response can never be written by this process.
+    """This process can no longer write the final response of a job.
 
-    A connection error, so that the worker's connection ends without a response: it keeps its result then, and
-    reports it to the next process.
+    It is a connection error, so that the worker's connection ends without a response. The worker then keeps
+    its result and reports it to the next process.
     """
 
 
 class RecordSizeError(DurableError):
-    """A record is empty, or too large for its reader.
+    """A record is empty, or larger than a reader accepts.
 
     Attributes:
-        size: Bytes of the record.
+        size: Size of the record in bytes.
     """
 
     def __init__(self, size: int) -> None:
-        super().__init__(f"a record of {size} bytes")
+        super().__init__(f"record of {size} bytes is empty or larger than a reader accepts")
         self.size = size
--- a/locktide/durable/job_config.py
+++ b/locktide/durable/job_config.py
@@ -15,10 +15,10 @@
     Attributes:
         service_classes: The service classes whose requests are durable jobs.
         detached_timeout: Timeout of a job for which no client waits, in microseconds.
-        retention: How long a final response can be queried, in microseconds.
-        max_open_jobs: How many jobs may be open; more are rejected.
-        resume_rate: Jobs resumed after a crash, per second.
-        leases: How long a worker may be silent.
+        retention: How long the final response of a job can be queried, in microseconds.
+        max_open_jobs: How many jobs may be open at a time; further jobs are rejected.
+        resume_rate: How many jobs are resumed per second after a crash.
+        leases: How long a worker may go without a report before its lease expires.
     """
 
     service_classes: Collection[str]
--- a/locktide/durable/job_context.py
+++ b/locktide/durable/job_context.py
@@ -15,15 +15,15 @@
 
 @dataclass(frozen=True, slots=True)
 class JobContext:
-    """Shared by the parts of one job service.
+    """The collaborators that the parts of one job service share.
 
     Attributes:
         config: Which requests are durable jobs, and their limits.
         write_ahead_log: The log on the disk.
-        state: The jobs, and what of them is on the disk.
+        state: The jobs, and which of their records are on the disk.
         leases: The leases of the dispatcher's attempts.
-        tasks: Runs what goes on beside the requests.
-        dispatcher: Dispatches the jobs.
+        tasks: Runs the background tasks.
+        dispatcher: Submits the jobs to the dispatcher.
         log: The dispatcher's log.
     """
 
--- a/locktide/durable/job_dispatcher.py
+++ b/locktide/durable/job_dispatcher.py
@@ -1,4 +1,4 @@
-"""The part of the dispatcher that durable jobs use."""
+"""The interface of the dispatcher that durable jobs use."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class JobDispatcher:
-    """Submits and resumes durable jobs at the dispatcher; `JobService` forwards other requests itself."""
+    """Submits and resumes durable jobs at the dispatcher; `JobService` itself forwards all other requests."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
@@ -28,20 +28,20 @@
         return self.host.now()
 
     def is_id_in_use(self, request_id: str) -> bool:
-        """Whether a request of that id is open, or has had its response lately."""
+        """Return whether a request with this id is open, or got its response recently."""
         return self.host.is_id_in_use(request_id)
 
     def submit(
         self, accepted: JobAccepted, timeout: int, background: bool
     ) -> asyncio.Future[Response] | None:
-        """Submit an accepted job, with a timeout in microseconds; return None where its id is in use."""
-        return self.dispatcher.submit(_request_of(accepted, timeout, background))
+        """Submit an accepted job, with a timeout in microseconds; return None if its id is in use."""
+        return self.dispatcher.submit(_build_request(accepted, timeout, background))
 
     def resume(self, step: ResumeJob) -> asyncio.Future[Response]:
-        """Resume a job of an earlier process."""
+        """Resume a job that an earlier process accepted."""
         accepted = step.job.accepted
         timeout = accepted.deadline - accepted.recorded_at
-        request = _request_of(accepted, timeout, background=True)
+        request = _build_request(accepted, timeout, background=True)
         arrived_at = min(self.now(), step.deadline - timeout)
         fences = [lease.fence for lease in step.job.leases]
         return self.host.recover(
@@ -55,21 +55,21 @@
         )
 
     def expire_lease(self, lease: Lease) -> None:
-        """End the attempt of a lease that has run out."""
+        """End the attempt of a lease that has expired."""
         self.host.expire_lease(lease.job_id, lease.fence)
 
     def handle_callback(self, callback: Callback) -> None:
-        """Forward a worker's report."""
+        """Forward a worker's report to the dispatcher."""
         self.dispatcher.handle_callback(callback)
 
     def endpoint(self, worker: str) -> EndpointEntry:
-        """Return the entry of a worker that is listed."""
+        """Return the endpoint list's entry for a worker."""
         return self.host.endpoint(worker)
 
 
-def _request_of(accepted: JobAccepted, timeout: int, background: bool) -> SubmitRequest:
-    """Return the request of a job; what the record has no field for is read from its header fields again."""
-    extras = dict(parse_extra_pairs(_fields_by_name(accepted.forwarded_headers)))
+def _build_request(accepted: JobAccepted, timeout: int, background: bool) -> SubmitRequest:
+    """Return the request of a job; values without a field in the record are parsed from its headers again."""
+    extras = dict(parse_extra_pairs(_decode_headers(accepted.forwarded_headers)))
     return SubmitRequest(
         id=accepted.job_id,
         service_class=accepted.service_class,
@@ -87,5 +87,5 @@
     )
 
 
-def _fields_by_name(headers: Headers) -> dict[str, str]:
+def _decode_headers(headers: Headers) -> dict[str, str]:
     return {name.decode("ascii").lower(): value.decode("latin-1") for name, value in headers}
--- a/locktide/durable/job_service.py
+++ b/locktide/durable/job_service.py
@@ -1,10 +1,10 @@
 """The durable jobs of one dispatcher, between its listener and its attempts.
 
-What is on the disk before what: a job before it is acknowledged or dispatched, a lease before its attempt's
-first byte, a final response before its client or its worker gets a response that rests on it. A crash at
-any moment therefore leaves either a job that was never acknowledged, or one that is recovered with every
-attempt that may have run. Held by `tests/durable/test_write_order.py` for jobs and final responses, and by
-`tests/durable/test_crashes.py`, which kills dispatchers at each of these points.
+The order of writes: a job is on the disk before it is acknowledged or dispatched, a lease before the first
+byte of its attempt, and a final response before the client or the worker gets a response that depends on it.
+A crash at any moment therefore leaves either a job that was never acknowledged, or one that is recovered with
+every attempt that may have run. Verified by `tests/durable/test_write_order.py` for jobs and final responses,
+and by `tests/durable/test_crashes.py`, which kills dispatchers at each of these points.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 from locktide.transport.interfaces import Response
 from locktide.transport.log import Log
 
-#: Seconds between two checks for leases that have run out: a tenth of the shortest useful lease.
+#: Seconds between two checks for expired leases: a tenth of the shortest useful lease.
 LEASE_CHECK_INTERVAL = 0.25
-#: Seconds between two checks for jobs whose retention has passed; each reads the whole table.
+#: Seconds between two checks for jobs whose retention has passed; each check reads the whole table.
 RETENTION_CHECK_INTERVAL = 5.0
 
 
@@ -73,12 +73,12 @@
         dispatcher.attach_job_store(self, self)
 
     async def recover(self, clocks: ClockReading) -> None:
-        """Recover the jobs of an earlier process, before the dispatcher serves."""
+        """Recover the jobs of an earlier process, before the dispatcher serves requests."""
         await self.resumption.recover(clocks)
         self.tasks.spawn(self._expire_periodically())
 
     async def _expire_periodically(self) -> None:
-        """End leases that have run out, and forget jobs whose retention has passed."""
+        """End leases that have expired, and remove jobs whose retention has passed."""
         loop = asyncio.get_running_loop()
         next_retention_check = 0.0
         while True:
@@ -89,7 +89,7 @@
                 self.state.drop_expired(self.job_dispatcher.now(), self.config.retention)
 
     async def close(self) -> None:
-        """Finish the writes that are under way and close the log."""
+        """Finish the writes that are in progress and close the log."""
         self.tasks.cancel_all_except(self.completion.writes.values())
         await self.completion.wait_for_writes()
         await self.write_ahead_log.wait_until_idle()
@@ -98,28 +98,29 @@
     # --- request handler of the listener
 
     def is_ready(self) -> bool:
-        """Whether the dispatcher is ready to serve."""
+        """Return whether the dispatcher is ready to serve requests."""
         return self.dispatcher.is_ready()
 
     def submit(self, message: SubmitRequest) -> asyncio.Future[Response] | None:
-        """Return the response to come; None where the request's id is in use or was."""
+        """Return a future for the response; None if the request's id is or was in use."""
         if message.service_class in self.config.service_classes:
             return self.acceptance.submit(message)
-        # The dispatcher does not know a recovered job before it is resumed: it would take the id, and the job
-        # would then displace the request (test_no_request_gets_the_id_of_a_job_that_is_not_resumed_yet).
+        # The dispatcher does not know a recovered job until the job is resumed. It would accept a request
+        # with the job's id, and the job would later replace that request among the open ones
+        # (test_no_request_gets_the_id_of_a_job_that_is_not_resumed_yet).
         if message.id in self.state.table.jobs:
             return None
         return self.dispatcher.submit(message)
 
     def client_disconnected(self, message: SubmitRequest) -> None:
-        """Drop the response of a client that has disconnected; a durable job goes on."""
+        """Drop the response for a client that has disconnected; a durable job continues."""
         if message.service_class not in self.config.service_classes:
             self.dispatcher.client_disconnected(message)
         else:
             self.waiters.cancel(message.id)
 
     def handle_callback(self, message: Callback) -> Awaitable[None] | None:
-        """Apply a worker's report; return what its worker waits for, if anything."""
+        """Apply a worker's report; return the write for which the response to the worker waits, if any."""
         job = self.state.table.jobs.get(message.request_id)
         if job is None:
             self.dispatcher.handle_callback(message)
@@ -127,16 +128,16 @@
         return self.lease_service.handle_callback(job, message)
 
     def query_job(self, message: JobQuery) -> Response:
-        """Return 202 while the job is open, then 200 with its state and result, or 404."""
+        """Return 202 for an open job, 200 with state and result for a finished one, 404 for an unknown id."""
         return self.queries.respond(message)
 
     # --- job store of the dispatcher
 
     def is_durable(self, request: OpenRequest) -> bool:
-        """Whether a request is a durable job, by its class or as an earlier process had accepted it.
+        """Return whether a request is a durable job, by its service class or because the log has it.
 
-        By its class alone, a recovered job whose class is durable no more had no lease, so that its worker's
-        report counted as late and the job never ended
+        The class alone is not enough: a recovered job whose class is no longer durable would get no lease,
+        its worker's report would count as late, and the job would never end
         (test_job_of_a_class_that_is_durable_no_more_gets_a_lease_and_its_report_counts).
         """
         if request.message.service_class in self.config.service_classes:
@@ -148,5 +149,5 @@
         return await self.lease_service.grant(request.message.id, attempt)
 
     def attempt_ended(self, request: OpenRequest, attempt: OpenAttempt) -> None:
-        """End the lease of an attempt that has its outcome."""
+        """End the lease of an attempt that has an outcome."""
         self.lease_service.attempt_ended(request.message.id, attempt)
--- a/locktide/durable/job_states.py
+++ b/locktide/durable/job_states.py
@@ -1,4 +1,4 @@
-"""The states of a job, and how clients and operators see them."""
+"""The states of a job, and the words for them that clients and operators read."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
     OPEN = "open"
     DONE = "done"
-    REJECTED = "rejected"  # it ended before it may have run
-    FAILED = "failed"  # any other ending
+    REJECTED = "rejected"  # the job ended and no attempt of it can have run
+    FAILED = "failed"  # the job ended in any other way
 
 
-#: The platform's word for each state: in the `Job-State` header, in the JSON of `GET /jobs/ID` and in
-#: `locktide jobs`.
+#: The word for each state in the platform's protocol: used in the `Job-State` header, in the JSON of
+#: `GET /jobs/ID` and in the output of `locktide jobs`.
 JOB_STATE_WORDS: Mapping[JobState, str] = MappingProxyType(
     {JobState.OPEN: "open", JobState.DONE: "done", JobState.REJECTED: "denied", JobState.FAILED: "terminated"}
 )
--- a/locktide/durable/jobs.py
+++ b/locktide/durable/jobs.py
@@ -1,4 +1,4 @@
-"""The state of the jobs, made by the log's records in the same way when they are written and when read."""
+"""The state of the jobs, built from the log's records in the same way when they are written and when read."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
     """Everything that was recorded of one job.
 
     Attributes:
-        accepted: What its client submitted.
+        accepted: The record of its acceptance, with the request of its client.
         leases: Its leases, in the order of their fencing numbers.
         ended_attempts: The attempts that have an outcome, by the fencing number of their lease.
-        finished: Its final response; None while it is open.
+        finished: Its final response; None while the job is open.
         late_reports: What workers reported under leases that had ended.
     """
 
@@ -61,40 +61,40 @@
 
     @property
     def job_id(self) -> str:
-        """The id that its client gave it."""
+        """The id that the client gave the job."""
         return self.accepted.job_id
 
     @property
     def state(self) -> JobState:
-        """The state by its final response."""
+        """The state, which follows from the final response."""
         if self.finished is None:
             return JobState.OPEN
         return state_of_final_response(self.finished.status)
 
     @property
     def fence(self) -> int:
-        """The fencing number of the last lease; 0 for none."""
+        """The fencing number of the last lease; 0 if there is no lease."""
         return self.leases[-1].fence if self.leases else 0
 
     def possibly_executed(self) -> bool:
-        """Whether a worker may have run it."""
+        """Return whether a worker may have run the job."""
         return any(self.outcome(lease) not in PROVEN_NOT_RUN for lease in self.leases)
 
     def outcome(self, lease: LeaseGranted) -> AttemptOutcome | None:
-        """Return how the attempt under a lease ended; None where that is not known."""
+        """Return the outcome of the attempt under a lease; None if it is not known."""
         ended = self.ended_attempts.get(lease.fence)
         return decode_outcome(ended.outcome) if ended else None
 
 
 class JobTable:
-    """The jobs that are open, or finished and retained for their clients.
+    """The jobs that are open, and the finished ones whose final response can still be queried.
 
     Attributes:
         jobs: The jobs by their ids, in the order in which they were accepted.
         job_ids_by_key: Ids of the jobs that have an idempotency key, by service class and key.
         open_count: How many jobs have no final response.
         last_recorded_at: The latest time in any record, in Unix microseconds of the process that wrote it.
-        writer: The last process that wrote; None in a new log.
+        writer: The last process that wrote to the log; None in a new log.
     """
 
     def __init__(self) -> None:
@@ -105,7 +105,10 @@
         self.writer: WriterStarted | None = None
 
     def apply(self, record: AnyRecord) -> None:
-        """Apply one record; a record of an unknown job has no effect, as the job's retention has passed."""
+        """Apply one record.
+
+        A record of an unknown job has no effect: the job was removed because its retention had passed.
+        """
         if isinstance(record, JobSnapshot):
             self._put(Job.from_snapshot(record))
             return
@@ -127,7 +130,7 @@
             job.ended_attempts.setdefault(record.fence, record)
         elif isinstance(record, LateReport):
             job.late_reports.append(record)
-        elif job.finished is None:  # only the first final response counts
+        elif job.finished is None:  # only the first final response of a job counts
             job.finished = record
             self.open_count -= 1
 
@@ -144,7 +147,7 @@
         self.last_recorded_at = max(self.last_recorded_at, accepted.recorded_at)
 
     def drop(self, job_id: str) -> None:
-        """Remove a job, if it is there."""
+        """Remove a job, if the table has it."""
         job = self.jobs.pop(job_id, None)
         if job is None:
             return
@@ -155,7 +158,7 @@
             del self.job_ids_by_key[class_and_key]
 
     def find_by_key(self, service_class: str, key: str) -> Job | None:
-        """Return the job with that idempotency key."""
+        """Return the job with that idempotency key; None if there is none."""
         return self.jobs.get(self.job_ids_by_key.get((service_class, key), ""))
 
     def open_jobs(self) -> list[Job]:
@@ -164,7 +167,7 @@
         return sorted(jobs, key=lambda job: (job.accepted.recorded_at, job.job_id))
 
     def drop_expired(self, now: int, retention: int) -> int:
-        """Remove the jobs that finished `retention` microseconds ago; return how many."""
+        """Remove the jobs that finished at least `retention` microseconds ago; return how many there were."""
         expired = [
             job for job in self.jobs.values() if job.finished and job.finished.recorded_at + retention <= now
         ]
--- a/locktide/durable/lease_service.py
+++ b/locktide/durable/lease_service.py
@@ -1,4 +1,4 @@
-"""Grants leases on disk before attempts begin, and applies what workers report under them."""
+"""Writes leases to the disk before their attempts begin, and applies the reports of workers to them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from locktide.durable.log.crash_point import CrashPoint
 from locktide.durable.log.records import AttemptEnded, LeaseGranted
 from locktide.durable.log.stored_outcomes import encode_outcome
-from locktide.durable.log.write_ahead_log import wait_or_lose
+from locktide.durable.log.write_ahead_log import wait_ignoring_write_error
 from locktide.protocol import names
 from locktide.protocol.messages import Callback
 from locktide.scheduler.types import AttemptOutcome
@@ -39,8 +39,8 @@
     async def grant(self, job_id: str, attempt: OpenAttempt) -> bool:
         """Write a lease before the first byte of an attempt; return whether the attempt may be sent.
 
-        A write that fails is followed by a pause: the attempt counts as never sent, and the scheduler gives
-        the next one at once. Without the pause a full disk cost a core and ever more memory
+        A failed write is followed by a pause: the attempt counts as never sent, and the scheduler starts the
+        next one at once. Without the pause a full disk would occupy a CPU core and use ever more memory
         (test_full_disk_costs_a_few_leases_a_second_and_the_job_goes_on_once_there_is_space).
         """
         job = self.state.table.jobs.get(job_id)
@@ -69,7 +69,7 @@
         return True
 
     def _undo_grant(self, record: LeaseGranted, error: LogWriteError) -> None:
-        """End a lease that could not be written, in memory alone: no byte of its attempt was sent."""
+        """End a lease that could not be written, in memory only: no byte of its attempt was sent."""
         self.leases.end(record.job_id, record.fence)
         ended = AttemptEnded(
             job_id=record.job_id,
@@ -79,7 +79,7 @@
         )
         self.state.table.apply(ended)
         self.log.emit(
-            f"job {record.job_id}: no lease for worker {record.worker}: {error}",
+            f"job {record.job_id}: the lease of worker {record.worker} could not be written: {error}",
             event="lease_write_failed",
             job=record.job_id,
             fence=record.fence,
@@ -88,22 +88,22 @@
         )
 
     def attempt_ended(self, job_id: str, attempt: OpenAttempt) -> None:
-        """End the lease of an attempt that has its outcome."""
+        """End the lease of an attempt that has an outcome."""
         if not attempt.fence or attempt.outcome is None:
             return
         self.leases.end(job_id, attempt.fence)
         if attempt.outcome == AttemptOutcome.DONE:
-            return  # the job's final response is its record
+            return  # the record of the final response contains this outcome
         record = AttemptEnded(
             job_id=job_id,
             fence=attempt.fence,
             outcome=encode_outcome(attempt.outcome),
             recorded_at=self.dispatcher.now(),
         )
-        self.tasks.spawn(wait_or_lose(self.write_ahead_log.append(record)))
+        self.tasks.spawn(wait_ignoring_write_error(self.write_ahead_log.append(record)))
 
     def handle_callback(self, job: Job, callback: Callback) -> Awaitable[None] | None:
-        """Apply a worker's report; return what its worker waits for, if anything."""
+        """Apply a worker's report; return the write for which the response to the worker waits, if any."""
         report = WorkerReport(
             job_id=job.job_id,
             worker=callback.worker,
@@ -117,14 +117,14 @@
         self.dispatcher.handle_callback(callback)
         if callback.outcome == AttemptOutcome.DONE:
             self.completion.finish(job.job_id, Response(HTTPStatus.OK, callback.result))
-        # A worker drops a result once its callback has a response, and sends it again until then: it must
-        # not get one before the result is on the disk.
+        # A worker repeats its callback until it gets a response, and then drops the result. It must therefore
+        # not get a response before the result is on the disk.
         if (write := self.completion.writes.get(job.job_id)) is not None:
             return asyncio.shield(write)
         return None
 
     def expire(self) -> None:
-        """End the leases that have run out, and the attempts under them."""
+        """End the leases that have expired, and the attempts under them."""
         for lease in self.leases.expire(self.dispatcher.now()):
             self.log.emit(
                 f"job {lease.job_id}: lease {lease.fence} of worker {lease.worker} has expired",
--- a/locktide/durable/leases.py
+++ b/locktide/durable/leases.py
@@ -1,22 +1,21 @@
-"""Leases: which worker may work on a job, until when, and what a report under a lease does. No I/O, no clock.
+"""Leases: which worker may run a job, until when, and what a report under a lease does. No I/O, no clock.
 
 A lease is granted before the first byte of an attempt, with a fencing number (Kleppmann, "How to do
 distributed locking", 2016; the sequencers of Burrows, "The Chubby lock service", OSDI 2006). The worker's
 reports are its heartbeats. Times are whole microseconds of one monotonic clock.
 
-Why a worker that was given up can neither finish a job nor make it run twice:
+Why a worker whose lease has ended can neither finish a job nor make it run twice:
 
 1. A lease is on the disk before the first byte of its attempt (`lease_service`), so a restarted dispatcher
    knows each attempt that may have run.
-2. The fencing numbers of a job only grow, also from one process to the next: `grant` starts above the last
-   one in the log. A number therefore names one attempt for good.
-3. A report counts only under a lease that is known, has not ended and whose time is not over by this
-   dispatcher's clock, whether or not `expire` has noticed. Any other final report is recorded as late and
-   changes nothing.
-4. The end of a lease does not hand the job to another worker. It ends the attempt as one that may have run,
-   and the scheduler sends the job again only where the service class allows it.
-
-Held in `tests/durable/test_leases.py` by `test_fencing_number_is_above_that_of_an_earlier_process` (2),
+2. The fencing numbers of a job only increase, also from one process to the next: `grant` starts above the
+   last one in the log. A fencing number therefore identifies one attempt forever.
+3. A report counts only under a lease that is known, has not ended and has not expired by this dispatcher's
+   clock, whether or not `expire` has run since. Any other final report is recorded as late and has no effect.
+4. The end of a lease does not give the job to another worker. It ends the attempt as one that may have run,
+   and the scheduler sends the job again only if the service class allows it.
+
+Verified in `tests/durable/test_leases.py` by `test_fencing_number_is_above_that_of_an_earlier_process` (2),
 `test_silent_worker_holds_a_job_no_longer_than_its_lease`,
 `test_report_after_the_end_of_a_lease_is_fenced_before_anybody_has_noticed` (3) and the model `LeaseModel`
 (2 and 3), and in `tests/durable/test_crashes.py` by
@@ -31,21 +30,21 @@
 
 
 class ReportResult(StrEnum):
-    """What a worker's report did."""
+    """The effect of a worker's report."""
 
-    RENEWED = "renewed"  # its lease lasts longer
-    ENDED = "ended"  # its lease has ended with it
-    FENCED = "fenced"  # nothing: its lease had ended before
-    UNKNOWN = "unknown"  # nothing: its lease is not known
+    RENEWED = "renewed"  # the report has extended its lease
+    ENDED = "ended"  # the report has ended its lease
+    FENCED = "fenced"  # no effect: the lease had ended or expired before
+    UNKNOWN = "unknown"  # no effect: there is no such lease
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseConfig:
-    """How long a worker may be silent.
+    """How long a worker may go without a report before its lease expires.
 
     Attributes:
-        start_timeout: Microseconds from the attempt to the report that the job has started. It should be
-            longer than `heartbeat_timeout`, as the job may wait in the worker's queue.
+        start_timeout: Microseconds from the grant of the lease to the report that the job has started. It
+            should be longer than `heartbeat_timeout`, as the job may wait in the worker's queue.
         heartbeat_timeout: Microseconds between two reports on a job that has started.
     """
 
@@ -55,20 +54,20 @@
     def __post_init__(self) -> None:
         for name in ("start_timeout", "heartbeat_timeout"):
             if getattr(self, name) <= 0:
-                raise ValueError(f"{name}: a lease lasts at least one microsecond")
+                raise ValueError(f"{name}: must be at least one microsecond")
 
 
 @dataclass(slots=True)
 class Lease:
-    """One worker's permission to work on a job.
+    """One worker's permission to run a job.
 
     Attributes:
         job_id: The job.
-        fence: Its fencing number, which is greater than that of each earlier lease of the job.
+        fence: The fencing number, which is greater than that of each earlier lease of the job.
         worker: Name of the worker.
-        expires_at: When it ends unless the worker reports, in microseconds.
-        has_started: Whether the worker has reported that the job runs.
-        has_ended: Whether it has ended, by a final report, by its time or with its attempt.
+        expires_at: When the lease expires unless the worker reports before, in microseconds.
+        has_started: Whether the worker has reported that the job has started.
+        has_ended: Whether the lease has ended: by a final report, by expiry or with its attempt.
     """
 
     job_id: str
@@ -81,12 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """What a worker reports on a job.
+    """A worker's report on a job.
 
     Attributes:
         job_id: The job.
         worker: Name of the worker.
-        fence: The fencing number of its lease; None where the worker does not report it.
+        fence: The fencing number of the lease; None if the report does not contain it.
         is_final: Whether the attempt has ended.
         has_started: Whether the report says that the job has started.
     """
@@ -102,7 +101,7 @@
     """The leases of one dispatcher.
 
     Attributes:
-        config: How long a worker may be silent.
+        config: How long a worker may go without a report before its lease expires.
         leases_by_job: The leases of each job, in the order in which they were granted.
     """
 
@@ -111,7 +110,7 @@
         self.leases_by_job: dict[str, list[Lease]] = {}
 
     def grant(self, job_id: str, worker: str, now: int, last_fence: int = 0) -> Lease:
-        """Grant a lease; its fencing number is above `last_fence` and those of earlier leases of the job."""
+        """Grant a lease; its fencing number is above `last_fence` and above all earlier ones of the job."""
         earlier_leases = self.leases_by_job.setdefault(job_id, [])
         earlier_fences = [lease.fence for lease in earlier_leases]
         lease = Lease(
@@ -124,23 +123,23 @@
         return lease
 
     def take_over(self, lease: Lease, now: int) -> None:
-        """Take over a lease of a process that has died.
+        """Take over a lease from a process that has died.
 
-        Its heartbeats are not in the log, so its worker gets as long as one that has just reported, and no
-        less than what is in the log.
+        Heartbeats are not recorded in the log. The lease therefore lasts at least as long as after a report
+        at `now`, and at least until the expiry that the log has.
         """
         lease.expires_at = max(lease.expires_at, now + self.config.heartbeat_timeout)
         self.leases_by_job.setdefault(lease.job_id, []).append(lease)
 
     def find(self, job_id: str, worker: str, fence: int | None) -> Lease | None:
-        """Return the lease by its fencing number, or the latest of that worker where the number is None."""
+        """Return the worker's lease with that fencing number, or its latest lease if `fence` is None."""
         for lease in reversed(self.leases_by_job.get(job_id, ())):
             if lease.worker == worker and fence in (None, lease.fence):
                 return lease
         return None
 
     def apply_report(self, report: WorkerReport, now: int) -> ReportResult:
-        """Renew or end the lease of a report, if it is still in force."""
+        """Renew or end the lease of a report, if the lease has neither ended nor expired."""
         lease = self.find(report.job_id, report.worker, report.fence)
         if lease is None:
             return ReportResult.UNKNOWN
@@ -160,13 +159,13 @@
             lease.expires_at = max(lease.expires_at, now + self.config.start_timeout)
 
     def end(self, job_id: str, fence: int) -> None:
-        """End a lease, if it is there."""
+        """End a lease, if the table has it."""
         for lease in self.leases_by_job.get(job_id, ()):
             if lease.fence == fence:
                 lease.has_ended = True
 
     def expire(self, now: int) -> list[Lease]:
-        """End the leases that have run out, and return them oldest first."""
+        """End the leases that have expired, and return them in the order of their expiry."""
         expired = [
             lease
             for leases in self.leases_by_job.values()
--- a/locktide/durable/log/__init__.py
+++ b/locktide/durable/log/__init__.py
@@ -1,1 +1,1 @@
-"""The write-ahead log: segments, framing of records and the records themselves."""
+"""The write-ahead log: its segments, the framing of records, and the records themselves."""
--- a/locktide/durable/log/compaction.py
+++ b/locktide/durable/log/compaction.py
@@ -1,4 +1,4 @@
-"""Compaction: a snapshot of the jobs takes the place of the older segments of a write-ahead log."""
+"""Compaction: a snapshot of the jobs replaces the older segments of a write-ahead log."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from locktide.durable.log import records
 from locktide.durable.log.crash_point import CrashPoint
 
-#: Records of a snapshot that are written before other work has its turn: about a millisecond of the event
-#: loop.
+#: Records of a snapshot that are appended in one go, before the event loop can run other tasks: about a
+#: millisecond.
 SNAPSHOT_BATCH = 100
 
 AppendRecord = Callable[[records.AnyRecord], asyncio.Future[None]]
@@ -21,10 +21,10 @@
 class Compactor:
     """Writes a snapshot through the log itself, and then removes the older segments.
 
-    Records that are appended meanwhile go into the same new segment, before or after the snapshot of their
-    job. Either order gives the same jobs, because a snapshot holds everything that was recorded of its job
-    before it. The older segments are removed only after `SnapshotComplete` is on the disk; a crash before
-    leaves them, and they are read with the new one. Held by
+    Records that are appended during compaction go into the same new segment, before or after the snapshot of
+    their job. Either order results in the same jobs, because a snapshot contains everything that was recorded
+    of its job before. The older segments are removed only after `SnapshotComplete` is on the disk. A crash
+    before that leaves them in place, and the next start reads them together with the new one. Verified by
     `test_compaction_keeps_open_jobs_and_drops_finished_ones`.
     """
 
@@ -41,7 +41,7 @@
         self._reach_crash_point = reach_crash_point
 
     async def compact(self, older_segments: Sequence[str]) -> None:
-        """Write a snapshot of the jobs, and then remove the older segments; keep them where that fails."""
+        """Write a snapshot of the jobs, and then remove the older segments; keep them if the write fails."""
         try:
             await self._write_snapshot()
             self._reach_crash_point(CrashPoint.BEFORE_OLD_SEGMENTS_REMOVED)
@@ -60,6 +60,6 @@
         await self._append(records.SnapshotComplete(len(job_ids)))
 
     async def _write_jobs(self, job_ids: Sequence[str]) -> None:
-        # A job may have been dropped while the batch before was written.
+        # A job may have been removed from the table while the previous batch was written.
         jobs = [self._table.jobs[job_id] for job_id in job_ids if job_id in self._table.jobs]
         await asyncio.gather(*(self._append(job.snapshot()) for job in jobs))
--- a/locktide/durable/log/crash_point.py
+++ b/locktide/durable/log/crash_point.py
@@ -1,4 +1,4 @@
-"""Points at which a simulation may kill the process."""
+"""Points in the code at which a simulation may kill the dispatcher."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CrashPoint(StrEnum):
-    """What a dispatcher is about to do, or has just done, as scenarios name it."""
+    """A step that a dispatcher is about to take or has just taken; the values are the names in scenarios."""
 
     BEFORE_WRITE = "before write"
     BETWEEN_WRITE_AND_SYNC = "between write and sync"
@@ -19,4 +19,4 @@
 
 
 def ignore_crash_point(_point: CrashPoint) -> None:
-    """Go on: outside simulations no process dies on purpose."""
+    """Do nothing: outside simulations no process is killed at a crash point."""
--- a/locktide/durable/log/framing.py
+++ b/locktide/durable/log/framing.py
@@ -1,8 +1,9 @@
-"""How records are framed in a segment: a header, then length, checksum and payload of each record.
+"""Framing of the records in a segment: a header, then the length, checksum and payload of each record.
 
-Framing finds what a disk and a crash can leave behind: a last record that was not wholly written, sectors
-that were never written and read as zeros, and bytes that have changed. CRC-32 finds every burst of up to 32
-flipped bits, and misses one in four thousand million of other damage; it is in the standard library.
+Framing detects what a crash or a faulty disk can leave behind: a last record that was not completely written,
+sectors that were never written and read as zeros, and bytes that have changed. CRC-32 is in the standard
+library. It detects every burst of up to 32 flipped bits, and misses about one in four billion (2^32) other
+errors.
 """
 
 from __future__ import annotations
@@ -17,31 +18,32 @@
 
 #: First bytes of each segment.
 MAGIC = b"LKTDJOBS"
-#: Version of the format; a program refuses a directory of a later one.
+#: Version of the format; a program refuses to open a directory with a later version.
 VERSION = 1
-#: Magic, format version, number of the segment.
+#: Segment header: magic, format version, number of the segment.
 HEADER = struct.Struct("<8sHxxI")
-#: Length and checksum of the payload.
+#: Frame header: length and checksum of the payload.
 FRAME = struct.Struct("<II")
-#: Bytes of the largest payload, far over the largest body with its result: a larger length is damage.
+#: Largest payload in bytes, far above the largest request body with its result: a larger length is damage.
 MAX_PAYLOAD = 16 << 20
-#: Bytes of the shortest payload that is looked for behind a fault. Fewer match a checksum by chance too
-#: easily.
+#: Shortest payload, in bytes, that is searched for after a fault. The checksum of a shorter one matches by
+#: chance too easily.
 MIN_SEARCHED_PAYLOAD = 8
-#: Bytes that a disk writes whole; the sectors of an unfinished write that were not written read as zeros.
+#: Bytes that a disk writes completely or not at all. The sectors that an interrupted write did not reach read
+#: as zeros.
 SECTOR = 512
 
 
 class FaultType(StrEnum):
-    """Why bytes of a segment are no record."""
+    """Why bytes of a segment are not a valid record."""
 
-    TORN = "torn"  # a crash cut a write short
-    DAMAGED = "damaged"  # what had been written whole has changed
+    TORN = "torn"  # a crash interrupted the write
+    DAMAGED = "damaged"  # a completely written record has changed
 
 
 @dataclass(frozen=True, slots=True)
 class FramingFault:
-    """Where a segment stops holding records, in bytes from its start, and why."""
+    """The fault that ends the valid records of a segment, with its offset in bytes in the segment."""
 
     fault_type: FaultType
     offset: int
@@ -50,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FramedPayload:
-    """A payload whose checksum fits, with the offset in bytes of its frame in the segment."""
+    """A payload with a correct checksum, and the offset in bytes of its frame in the segment."""
 
     offset: int
     payload: bytes
@@ -62,31 +64,34 @@
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Frame a payload; raise RecordSizeError for a size that no reader accepts."""
+    """Return the frame of a payload; raise RecordSizeError for a size that no reader accepts."""
     if not 0 < len(payload) <= MAX_PAYLOAD:
         raise RecordSizeError(len(payload))
     return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def check_header(data: bytes, name: str) -> int:
-    """Return the segment's number; raise NewerFormatError or ForeignFileError."""
+    """Return the number in a segment's header; raise NewerFormatError or ForeignFileError."""
     if len(data) < HEADER.size:
-        raise ForeignFileError(f"{name}: {len(data)} bytes, no header", name)
+        raise ForeignFileError(f"{name}: {len(data)} bytes are too few for a segment header", name)
     magic, version, segment_number = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise ForeignFileError(f"{name}: not a journal of jobs", name)
+        raise ForeignFileError(f"{name}: not a segment of a write-ahead log", name)
     if version > VERSION:
-        raise NewerFormatError(f"{name}: format {version}, this locktide knows up to {VERSION}", name)
+        raise NewerFormatError(
+            f"{name}: format version {version} is newer than {VERSION}, the latest that this locktide reads",
+            name,
+        )
     return int(segment_number)
 
 
 def read_frames(data: bytes) -> Iterator[FramedPayload | FramingFault]:
-    """Yield each payload of a segment, and at the end the fault that stops the reading, if there is one."""
+    """Yield each valid payload of a segment, and finally the fault that ends the reading, if there is one."""
     offset = HEADER.size
     while offset < len(data):
         payload_start = offset + FRAME.size
         if payload_start > len(data):
-            yield FramingFault(FaultType.TORN, offset, f"{len(data) - offset} bytes of a record's head")
+            yield FramingFault(FaultType.TORN, offset, f"{len(data) - offset} bytes of a frame header")
             return
         length, checksum = FRAME.unpack_from(data, offset)
         end = payload_start + length
@@ -99,25 +104,26 @@
 
 
 def classify_fault(data: bytes, offset: int, length: int, end: int) -> FramingFault:
-    """Tell a write that a crash cut short from one that was whole and has changed.
+    """Decide whether a crash interrupted a write, or a completely written record has changed.
 
-    Torn is only what a crash can leave behind: the file ends within the record, or is zeros from a sector's
-    edge to its end. Whatever else is wrong was once read as good, and must not be dropped silently.
+    The fault is `TORN` only if a crash can have caused it: the file ends within the record, or contains only
+    zeros from a sector boundary to its end. Any other fault is in a record that was valid once, and such a
+    record must not be dropped silently.
     """
     if not any(data[offset:]):
-        return FramingFault(FaultType.TORN, offset, "nothing but zeros")
+        return FramingFault(FaultType.TORN, offset, "only zeros follow")
     written_size = len(data.rstrip(b"\0"))
-    first_zero_sector = -(-written_size // SECTOR) * SECTOR  # rounded up to the edge of a sector
+    first_zero_sector = -(-written_size // SECTOR) * SECTOR  # rounded up to a sector boundary
     if first_zero_sector < len(data) and first_zero_sector < end:
-        return FramingFault(FaultType.TORN, offset, "a record that ends in sectors of zeros")
+        return FramingFault(FaultType.TORN, offset, "a record whose last sectors are zeros")
     if 0 < length <= MAX_PAYLOAD and end > len(data) and not has_record_after(data, offset):
         reason = f"{len(data) - offset} bytes of a record of {end - offset}"
         return FramingFault(FaultType.TORN, offset, reason)
-    return FramingFault(FaultType.DAMAGED, offset, "a record whose checksum does not fit")
+    return FramingFault(FaultType.DAMAGED, offset, "a record with a wrong length or checksum")
 
 
 def has_record_after(data: bytes, offset: int) -> bool:
-    """Whether a good record follows somewhere after `offset`, so that it was not the last write."""
+    """Return whether a valid record follows after `offset`, so that the one at `offset` is not the last."""
     for candidate in range(offset + 1, len(data) - FRAME.size):
         length, checksum = FRAME.unpack_from(data, candidate)
         payload_start = candidate + FRAME.size
--- a/locktide/durable/log/reader.py
+++ b/locktide/durable/log/reader.py
@@ -1,4 +1,4 @@
-"""Reads the segments of a write-ahead log, and notes what is torn or damaged."""
+"""Reads the segments of a write-ahead log, and collects their torn and damaged records."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True)
 class LogContents:
-    """What was found in a log, for the dispatcher's start and for `locktide jobs verify`.
+    """Statistics and faults of a log, for the dispatcher's start and for `locktide jobs verify`.
 
     Attributes:
-        segment_count: Segments with a header.
-        record_count: Records that were applied.
-        byte_count: Bytes of these segments.
-        torn: Segment, byte and reason of each end that a crash cut short.
-        damaged: The same of each record that was whole once and has changed.
+        segment_count: How many segments have a header.
+        record_count: How many records were applied.
+        byte_count: Total size in bytes of the segments that have a header.
+        torn: Segment, byte offset and reason of each end that was torn by a crash.
+        damaged: The same for each completely written record that has changed or cannot be decoded.
         valid_sizes: Bytes before the first fault, by segment.
     """
 
@@ -42,7 +42,7 @@
 
 
 def segment_number(name: str) -> int:
-    """Return the number of a segment by its file name."""
+    """Return the number of the segment with this file name."""
     return int(name.partition(".")[0])
 
 
@@ -52,10 +52,10 @@
 
 
 def read_log(storage: Storage, table: JobTable) -> LogContents:
-    """Apply all good records to `table`; raise NewerFormatError and ForeignFileError.
+    """Apply all valid records to `table`; raise NewerFormatError or ForeignFileError.
 
-    Of a segment with a fault the rest is left out. Whether to go on with a damaged log is for the caller to
-    decide.
+    If a segment has a fault, the rest of it is skipped. The caller decides whether to continue with a damaged
+    log.
     """
     reader = _LogReader(table)
     names = list_segments(storage)
@@ -65,7 +65,7 @@
 
 
 class _LogReader:
-    """Reads segments in their order."""
+    """Reads the segments of a log, oldest first."""
 
     def __init__(self, table: JobTable) -> None:
         self.contents = LogContents()
@@ -74,7 +74,7 @@
     def read_segment(self, name: str, data: bytes, is_last: bool) -> None:
         contents = self.contents
         if is_last and _has_unfinished_header(data, name):
-            contents.torn.append(f"{name}: {len(data)} bytes, no whole header")
+            contents.torn.append(f"{name}: {len(data)} bytes of an incomplete segment header")
             contents.valid_sizes[name] = 0
             return
         framing.check_header(data, name)
@@ -83,10 +83,10 @@
         contents.valid_sizes[name] = self._read_records(name, data, is_last)
 
     def _read_records(self, name: str, data: bytes, is_last: bool) -> int:
-        """Apply the records of a segment; return how many of its bytes are good."""
+        """Apply the records of a segment; return how many bytes precede the first fault."""
         for item in framing.read_frames(data):
             if isinstance(item, FramingFault):
-                # Only the segment that was written last can have been cut short.
+                # Only the last segment can have an end that was torn by a crash.
                 is_torn = item.fault_type is FaultType.TORN and is_last
                 faults = self.contents.torn if is_torn else self.contents.damaged
                 faults.append(f"{name}: at byte {item.offset}: {item.reason}")
@@ -101,6 +101,6 @@
 
 
 def _has_unfinished_header(data: bytes, name: str) -> bool:
-    """Whether a crash came before this segment's header was on the disk, so before any record of it."""
+    """Return whether a crash interrupted the write of this segment's header, so that no record follows."""
     header = framing.encode_header(segment_number(name))
     return data[: len(header)] != header and header.startswith(data.rstrip(b"\0"))
--- a/locktide/durable/log/records.py
+++ b/locktide/durable/log/records.py
@@ -1,7 +1,7 @@
 """The records of the write-ahead log, one for each change of a job.
 
-Times are Unix microseconds of the process that wrote the record. Records are stored as arrays: the tags and
-the order of the fields are the stored format, the names of the fields are not.
+Times are Unix microseconds by the clock of the process that wrote the record. Records are stored as arrays:
+the tags and the order of the fields are part of the stored format, the names of the fields are not.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
     Attributes:
         recorded_at: The dispatcher's clock, in Unix microseconds.
-        boot_id: Names the machine's run since its last boot.
-        uptime: Microseconds since that boot, at the same moment. The elapsed time is known by it although the
-            clock may be set.
+        boot_id: Identifies the current boot of the machine.
+        uptime: Microseconds since that boot, at the same moment. Recovery computes the elapsed time from it,
+            because the clock may have been set.
     """
 
     recorded_at: int
@@ -34,17 +34,17 @@
     """A job was accepted from its client.
 
     Attributes:
-        job_id: The id that its client gave it.
-        key: The idempotency key; empty for none.
+        job_id: The id that the client gave the job.
+        key: The idempotency key; empty if there is none.
         digest: SHA-256 of method, target and body, in hexadecimal.
-        service_class: Name of its service class.
+        service_class: Name of the job's service class.
         method: HTTP method, forwarded to the worker.
         target: HTTP request target, forwarded to the worker.
         forwarded_headers: Header fields that are forwarded to the worker.
         body: The payload.
-        recorded_at: When it was accepted.
-        deadline: When it is given up.
-        width: How many slots of a worker it takes.
+        recorded_at: When the job was accepted.
+        deadline: When the job ends if it has no final response by then.
+        width: How many slots the job takes on a worker.
     """
 
     job_id: str
@@ -61,7 +61,10 @@
 
 
 class LeaseGranted(Record, tag="Leased"):
-    """A worker has a lease; written before the attempt's first byte: from here on the job may have run."""
+    """A worker was granted a lease.
+
+    The record is written before the first byte of the attempt: from then on the job may have run.
+    """
 
     job_id: str
     fence: int
@@ -73,7 +76,7 @@
 
 
 class AttemptEnded(Record, tag="Ended"):
-    """An attempt under a lease has its outcome."""
+    """An attempt under a lease has ended with an outcome."""
 
     job_id: str
     fence: int
@@ -82,27 +85,27 @@
 
 
 class JobFinished(Record, tag="Finished"):
-    """The one final response of a job."""
+    """The job has its final response; there is exactly one for each job."""
 
     job_id: str
     status: int
     body: bytes
-    retry_after: int  # advice to the client, in microseconds; 0 for none
+    retry_after: int  # value of Retry-After for the client, in microseconds; 0 if there is none
     recorded_at: int
 
 
 class LateReport(Record, tag="Late"):
-    """What a worker reported under a lease that had ended: stored for operators, without effect."""
+    """A worker's report under a lease that had ended: stored for operators, without effect."""
 
     job_id: str
     fence: int
     worker: str
-    state: str  # as it is spelled in the callback
+    state: str  # the state as the callback spells it
     recorded_at: int
 
 
 class JobSnapshot(Record, tag="Kept"):
-    """Everything that was recorded of a job before, written by compaction."""
+    """Everything that was recorded of one job so far, written by compaction."""
 
     accepted: JobAccepted
     leases: list[LeaseGranted]
--- a/locktide/durable/log/segment_writer.py
+++ b/locktide/durable/log/segment_writer.py
@@ -1,4 +1,4 @@
-"""The newest segment of a write-ahead log, to which batches of records are appended."""
+"""Writes the newest segment of a write-ahead log, to which batches of records are appended."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class SegmentWriter:
-    """Appends to one segment until the next is begun.
+    """Appends to one segment until the next one is begun.
 
     Attributes:
-        name: File name of the segment; empty before the first.
-        size: Bytes of the segment.
-        failure: Why nothing can be written any more; empty while it can.
+        name: File name of the segment; empty before the first segment is begun.
+        size: Size of the segment in bytes.
+        failure: Why nothing can be written any more; empty while writing is possible.
     """
 
     def __init__(self, storage: Storage) -> None:
@@ -24,14 +24,14 @@
         self._storage = storage
 
     def begin(self, number: int) -> None:
-        """Begin the segment of that number; raise OSError, after which the one before is still in use."""
+        """Begin the segment with this number; after an OSError the previous segment is still in use."""
         name = segment_name(number)
         self._storage.create(name)
         try:
             self._storage.append(name, framing.encode_header(number))
         except OSError:
-            # Only the last segment may have a torn end. Were the file left behind, the segment in use would
-            # no longer be the last one, and a crash in it would be read as damage. Held by
+            # Only the last segment may have a torn end. If this file were left behind, the segment in use
+            # would no longer be the last one, and a torn end of it would be read as damage. Verified by
             # `test_full_disk_at_the_start_of_a_segment_leaves_no_file_behind`.
             self._storage.remove(name)
             raise
@@ -39,11 +39,11 @@
         self.size = framing.HEADER.size
 
     def begin_next(self) -> None:
-        """Begin the next segment; raise OSError, after which the one before is still in use."""
+        """Begin the next segment; after an OSError the previous segment is still in use."""
         self.begin(segment_number(self.name) + 1)
 
     def append(self, frames: bytes) -> None:
-        """Append a batch as a whole or not at all; raise LogWriteError."""
+        """Append a batch completely or not at all; raise LogWriteError."""
         try:
             self._storage.append(self.name, frames)
         except OSError as error:
@@ -52,18 +52,18 @@
         self.size += len(frames)
 
     def _undo_append(self, reason: str) -> None:
-        """Remove what was written of a batch that could not be written as a whole."""
+        """Remove the part that was written of a batch whose append has failed."""
         try:
             self._storage.truncate(self.name, self.size)
         except OSError as error:
-            self.failure = f"{reason}; and it could not be taken back: {error}"
+            self.failure = f"{reason}; and the partial write could not be removed: {error}"
 
     async def sync(self) -> None:
         """Make the segment durable; raise LogWriteError, after which nothing can be written any more.
 
-        What a failed sync leaves on the disk is not known, and the next one may report success (Rebello et
-        al., "Can applications recover from fsync failures?", USENIX ATC 2020). Held by
-        `test_no_write_succeeds_after_a_failed_sync`.
+        After a failed sync it is not known what is on the disk, and the next sync may report success although
+        data is missing (Rebello et al., "Can applications recover from fsync failures?", USENIX ATC 2020).
+        Verified by `test_no_write_succeeds_after_a_failed_sync`.
         """
         name = self.name
         try:
--- a/locktide/durable/log/stored_outcomes.py
+++ b/locktide/durable/log/stored_outcomes.py
@@ -1,7 +1,7 @@
-"""How the outcomes of attempts are spelled in the write-ahead log.
+"""The spellings of attempt outcomes in the write-ahead log.
 
-The spellings are part of the stored format, since the log of an earlier program must stay readable. They do
-not follow the values of `AttemptOutcome`, and are written nowhere else.
+The spellings are part of the stored format, because the log of an earlier version must stay readable. They
+are independent of the values of `AttemptOutcome` and defined only here.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 #: An outcome as it is spelled in a record.
 StoredOutcome = NewType("StoredOutcome", str)
 
-#: The one stored spelling of each outcome.
+#: The stored spelling of each outcome.
 STORED_OUTCOMES: Mapping[AttemptOutcome, StoredOutcome] = MappingProxyType(
     {
         AttemptOutcome.DONE: StoredOutcome("done"),
@@ -41,7 +41,7 @@
 def decode_outcome(stored: StoredOutcome) -> AttemptOutcome:
     """Return the outcome of a stored spelling.
 
-    A spelling of a later program is read as `AttemptOutcome.RESET`: the attempt has ended and may have run,
-    so nothing is retried that must not run twice.
+    An unknown spelling, written by a later version, is read as `AttemptOutcome.RESET`: the attempt has ended
+    and may have run, so that no job is retried that must not run twice.
     """
     return _OUTCOMES_BY_SPELLING.get(stored, AttemptOutcome.RESET)
--- a/locktide/durable/log/write_ahead_log.py
+++ b/locktide/durable/log/write_ahead_log.py
@@ -2,17 +2,19 @@
 
 Why a record whose future is done survives any crash:
 
-1. Records are framed with length and checksum, and written in the order of `append`, in one segment at a
-   time.
+1. Records are framed with length and checksum, and written in the order of the calls of `append`, to one
+   segment at a time.
 2. The futures of a batch are set only after a sync that began when the whole batch had been appended.
-3. A batch that could not be appended as a whole is cut off again, so that the segment ends with whole
-   records. Where that fails, or a sync fails, nothing is written any more until the dispatcher is restarted.
-4. A crash can therefore leave only the last segment with an unfinished end, and no future of that end is
-   done. It is cut off at the next start, which then begins a segment of its own. Any other fault is damage to
+3. If a batch cannot be appended completely, the part that was written is removed, so that the segment ends
+   with a complete record. If the removal fails, or a sync fails, nothing is written until the dispatcher is
+   restarted.
+4. A crash can therefore leave a torn end only in the last segment, and no future of a record in the torn end
+   is done. The next start removes the torn end and begins a segment of its own. Any other fault is damage to
    records that were acknowledged, and the start is refused.
 5. Older segments are removed only after a complete snapshot of their jobs is on the disk (`compaction`).
 
-Held by `tests/durable/log/test_write_ahead_log.py`: `test_acknowledged_records_survive_a_crash` (1, 2 and 4),
+Verified by `tests/durable/log/test_write_ahead_log.py`:
+`test_acknowledged_records_survive_a_crash` (1, 2 and 4),
 `test_full_disk_rejects_a_record_and_loses_no_other`, `test_record_that_cannot_be_taken_back_ends_all_writing`
 and `test_no_write_succeeds_after_a_failed_sync` (3),
 `test_full_disk_at_the_start_of_a_segment_leaves_no_file_behind` and
@@ -20,8 +22,8 @@
 `test_compaction_keeps_open_jobs_and_drops_finished_ones` (5); and by `tests/durable/test_crashes.py` with
 whole dispatchers killed at each crash point.
 
-The table of jobs is changed when a record is appended, before it is on the disk. Whoever responds to a
-client on the strength of the table waits for the record's future first (`durable_state`).
+A record is applied to the table of jobs when it is appended, before it is on the disk. Code that sends a
+response on the basis of the table first waits for the record's future (`durable_state`).
 """
 
 from __future__ import annotations
@@ -49,18 +51,18 @@
     done: asyncio.Future[None]
 
     def fail(self, error: LogWriteError) -> None:
-        """Tell whoever waits that the record is not on the disk."""
+        """Complete the future with an error: the record is not on the disk."""
         if not self.done.done():
             self.done.set_exception(LogWriteError(error.reason, error.path))
 
     def succeed(self) -> None:
-        """Tell whoever waits that the record is on the disk."""
+        """Complete the future: the record is on the disk."""
         if not self.done.done():
             self.done.set_result(None)
 
 
 class WriteAheadLog:
-    """Owns the segments of one directory, and the table of jobs that its records make.
+    """Owns the segments of one directory, and the table of jobs that is built from their records.
 
     Attributes:
         table: The jobs.
@@ -70,12 +72,12 @@
     """
 
     def __init__(self, storage: Storage, segment_bytes: int, group_commit: bool = True) -> None:
-        """Prepare a log, which is still to be opened.
+        """Create a log object without opening the log.
 
         Args:
             storage: The directory.
-            segment_bytes: Size in bytes after which the log is compacted.
-            group_commit: Whether records that wait together share a sync; otherwise each has one of its own.
+            segment_bytes: Size of a segment in bytes above which the log is compacted.
+            group_commit: Whether records that wait at the same time share a sync; if not, each has its own.
         """
         self.table = JobTable()
         self.contents = LogContents()
@@ -86,20 +88,20 @@
         self._group_commit = group_commit
         self._segment = SegmentWriter(storage)
         self._pending: list[PendingWrite] = []
-        self._writing: asyncio.Task[None] | None = None
-        self._compacting: asyncio.Task[None] | None = None
+        self._write_task: asyncio.Task[None] | None = None
+        self._compaction_task: asyncio.Task[None] | None = None
 
     @property
     def failure(self) -> str:
-        """Why nothing can be written any more; empty while it can."""
+        """Why nothing can be written any more; empty while writing is possible."""
         return self._segment.failure
 
     # --- opening
 
     def open(self, skip_damaged: bool = False) -> None:
-        """Lock the directory, read it and begin a new segment.
+        """Lock the directory, read the log and begin a new segment.
 
-        Raises LogOpenError or OSError, and has changed nothing then.
+        Raises LogOpenError, or OSError if the log cannot be read; no file has been changed then.
         """
         self._storage.acquire_lock()
         try:
@@ -112,7 +114,7 @@
         last = max(self.contents.valid_sizes, default="")
         if self.contents.torn and last:
             self._cut_torn_end(last)
-        # A segment of our own, so that what an older process wrote is never written to again.
+        # Each process begins a segment of its own, and never writes to the segments of earlier processes.
         self._segment.begin(segment_number(last) + 1 if last else 1)
 
     def _cut_torn_end(self, name: str) -> None:
@@ -125,11 +127,11 @@
     # --- writing
 
     def append(self, record: records.AnyRecord) -> asyncio.Future[None]:
-        """Apply a record, and write it after everything that was appended before.
+        """Apply a record to the table, and write it after all records that were appended before.
 
         Returns:
-            A future that is done once the record is on the disk. It raises LogWriteError; the caller must
-            not go on then as if the record were stored.
+            A future that is done once the record is on the disk. If it raises LogWriteError, the record is
+            not stored, and the caller must not continue as if it were.
         """
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self.failure:
@@ -138,19 +140,19 @@
         self.table.apply(record)
         frame = framing.encode_frame(records.encode(record))
         self._pending.append(PendingWrite(frame, done))
-        if self._writing is None:
-            self._writing = asyncio.create_task(self._write_pending())
+        if self._write_task is None:
+            self._write_task = asyncio.create_task(self._write_pending())
         return done
 
     async def _write_pending(self) -> None:
-        """Write one batch for each sync: what is appended meanwhile makes the next batch."""
+        """Write the pending records in batches; records that are appended meanwhile form the next batch."""
         try:
             while self._pending:
                 await self._write_batch(self._next_batch())
                 if self._is_compaction_due():
                     self._begin_compaction()
         finally:
-            self._writing = None
+            self._write_task = None
 
     def _next_batch(self) -> list[PendingWrite]:
         size = len(self._pending) if self._group_commit else 1
@@ -159,7 +161,7 @@
         return batch
 
     async def _write_batch(self, batch: Sequence[PendingWrite]) -> None:
-        """Append and sync a batch, and set the results of its writes."""
+        """Append and sync a batch, and complete the futures of its records."""
         self.reach_crash_point(CrashPoint.BEFORE_WRITE)
         try:
             self._segment.append(b"".join(write.frame for write in batch))
@@ -186,42 +188,42 @@
         self._pending = []
 
     async def wait_until_idle(self) -> None:
-        """Return once nothing is being written or compacted."""
-        while (task := self._writing or self._compacting) is not None:
+        """Wait until nothing is being written or compacted."""
+        while (task := self._write_task or self._compaction_task) is not None:
             await asyncio.wait([task])
 
     def close(self) -> None:
-        """Stop writing, fail what was not written and release the directory."""
-        for task in (self._writing, self._compacting):
+        """Stop writing, fail the records that were not written, and release the directory."""
+        for task in (self._write_task, self._compaction_task):
             if task is not None:
                 task.cancel()
-        self._fail_pending("closed")
+        self._fail_pending("the log is closed")
         self._storage.release_lock()
 
     # --- compaction
 
     def _is_compaction_due(self) -> bool:
         is_full = self._segment.size > self._segment_bytes
-        return is_full and self._compacting is None and not self.failure
+        return is_full and self._compaction_task is None and not self.failure
 
     def _begin_compaction(self) -> None:
-        """Begin a new segment between two batches, and the compaction of the older ones."""
+        """Begin a new segment between two batches, and start to compact the older ones."""
         older_segments = list_segments(self._storage)
         try:
             self._segment.begin_next()
         except OSError:
-            return  # no space for a new segment: the old one is still appended to
-        self._compacting = asyncio.create_task(self._compact(older_segments))
+            return  # no space for a new segment: records are still appended to the current one
+        self._compaction_task = asyncio.create_task(self._compact(older_segments))
 
     async def _compact(self, older_segments: Sequence[str]) -> None:
         compactor = Compactor(self._storage, self.table, self.append, self.reach_crash_point)
         try:
             await compactor.compact(older_segments)
         finally:
-            self._compacting = None
+            self._compaction_task = None
 
 
-async def wait_or_lose(write: asyncio.Future[None]) -> None:
-    """Wait for a record that may be lost: without it recovery assumes more has run, never less."""
+async def wait_ignoring_write_error(write: asyncio.Future[None]) -> None:
+    """Wait for a write and ignore its failure: without the record recovery assumes that more has run."""
     with suppress(LogWriteError):
         await write
--- a/locktide/durable/measure.py
+++ b/locktide/durable/measure.py
@@ -15,15 +15,15 @@
 from locktide.durable.log.write_ahead_log import WriteAheadLog
 from locktide.durable.units import MICROSECONDS_PER_SECOND
 
-#: Clients that submit at once: as many wait at a busy dispatcher.
+#: Clients that submit concurrently, about as many as wait at a busy dispatcher.
 CLIENT_COUNT = 64
-#: Payload of a job.
+#: Payload of each job.
 BODY = b"x" * 200
-#: Microseconds until a job is given up.
+#: Microseconds from the acceptance of a job to its deadline.
 JOB_TIMEOUT = 100 * MICROSECONDS_PER_SECOND
-#: Size in bytes after which a log is compacted: none of these is.
+#: Segment size in bytes that no measured log reaches, so that none is compacted.
 UNLIMITED_SEGMENT = 1 << 40
-#: Of the jobs of a log to recover, one in so many has a lease.
+#: Every n-th job of a log to recover has a lease.
 LEASED_JOB_INTERVAL = 4
 LEASE_CONFIG = LeaseConfig(
     start_timeout=60 * MICROSECONDS_PER_SECOND, heartbeat_timeout=15 * MICROSECONDS_PER_SECOND
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptanceCost:
-    """What the acceptance of some jobs costs.
+    """The time and the disk syncs that the acceptance of a number of jobs took.
 
     Attributes:
-        count: Jobs that were accepted.
-        duration: Seconds for all of them.
-        p50: Seconds within which half of the jobs were accepted.
-        p99: The same for 99 of 100.
-        sync_count: Syncs of the disk.
+        count: How many jobs were accepted.
+        duration: Seconds from the first submission to the last acceptance.
+        p50: Median time to accept a job, in seconds.
+        p99: 99th percentile of the time to accept a job, in seconds.
+        sync_count: How many syncs of the disk succeeded.
     """
 
     count: int
@@ -52,18 +52,18 @@
 
     @property
     def rate(self) -> float:
-        """Jobs accepted in a second."""
+        """Jobs accepted per second."""
         return self.count / self.duration
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryCost:
-    """What it costs to read a log and to plan what to do with its open jobs.
+    """The time to read a log and to plan the recovery of its open jobs.
 
     Attributes:
-        job_count: Open jobs of the log.
-        mean: Seconds on average.
-        worst: Seconds at most.
+        job_count: How many open jobs the log has.
+        mean: Mean time of a recovery, in seconds.
+        worst: Longest time of a recovery, in seconds.
     """
 
     job_count: int
@@ -72,7 +72,7 @@
 
 
 def example_job(number: int) -> JobAccepted:
-    """Return the record of an accepted job of ordinary size."""
+    """Return the record of an accepted job with a payload of typical size."""
     job_id = f"job-{number:08d}"
     headers = [(b"req-id", job_id.encode()), (b"idempotency-key", job_id.encode())]
     return JobAccepted(
@@ -104,7 +104,7 @@
 
 
 async def measure_acceptance(directory: Path, count: int, group_commit: bool) -> AcceptanceCost:
-    """Accept jobs of clients that each submit their next one once the last one is on the disk."""
+    """Accept `count` jobs from concurrent clients; each submits its next job once the last is on the disk."""
     log = WriteAheadLog(
         storage=DirectoryStorage(directory), segment_bytes=UNLIMITED_SEGMENT, group_commit=group_commit
     )
@@ -137,7 +137,7 @@
 
 
 async def write_open_jobs(directory: Path, count: int) -> None:
-    """Write a log with so many open jobs, some of which have a lease."""
+    """Write a log with `count` open jobs, some of which have a lease."""
     log = WriteAheadLog(DirectoryStorage(directory), UNLIMITED_SEGMENT)
     log.open()
     writes = [log.append(WriterStarted(0, "boot", 0))]
@@ -165,7 +165,7 @@
 
 
 def measure_recoveries(parent: Path, sizes: list[int], repetitions: int) -> list[RecoveryCost]:
-    """Measure recovery at each size, in directories below `parent` that are removed again."""
+    """Measure recovery for each number of open jobs, in directories below `parent` that are removed again."""
     costs = []
     for size in sizes:
         directory = parent / f"recover-{size}"
@@ -180,7 +180,7 @@
 
 
 def measure_acceptances(parent: Path, count: int) -> tuple[AcceptanceCost, AcceptanceCost]:
-    """Measure acceptance with one sync for each job, then with group commit, on the same disk."""
+    """Measure acceptance with one sync per job, then with group commit, on the same disk."""
     costs = []
     for group_commit in (False, True):
         directory = parent / f"accept-{group_commit}"
--- a/locktide/durable/preference.py
+++ b/locktide/durable/preference.py
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Preference:
-    """Whether a client waits for the final response, or wants an early one.
+    """Whether a client waits for the final response, or prefers an early response while the job is open.
 
     Attributes:
-        respond_async: Whether it accepts an early response.
-        wait: Seconds to wait for the final response before an early one.
+        respond_async: Whether the client prefers an early response.
+        wait: Seconds to wait for the final response before the early one is sent.
     """
 
     respond_async: bool
@@ -26,7 +26,7 @@
 
 
 def read_preference(headers: Mapping[str, str]) -> Preference:
-    """Read `respond-async` and `wait=SECONDS`; the names of the headers are in lower case."""
+    """Parse `respond-async` and `wait=SECONDS`; `headers` has lower-case names."""
     value = headers.get(names.PREFER.lower(), "")
     preferences = [part.partition(";")[0].strip().lower() for part in value.split(",")]
     wait = WAIT_PATTERN.search(value)
--- a/locktide/durable/queries.py
+++ b/locktide/durable/queries.py
@@ -18,10 +18,10 @@
         self.state = state
 
     def respond(self, query: JobQuery) -> Response:
-        """Return 202 while the job is open, then 200 with its state and result, or 404."""
+        """Return 202 for an open job, 200 with state and result for a finished one, 404 for an unknown id."""
         if not self.state.is_accepted(query.id):
             return unknown_job_response()
         job = self.state.table.jobs[query.id]
-        if not self.state.is_settled(query.id):
+        if not self.state.is_final_response_stored(query.id):
             return pending_response(job)
         return replace(final_response(job), status=HTTPStatus.OK)
--- a/locktide/durable/recovery.py
+++ b/locktide/durable/recovery.py
@@ -1,4 +1,4 @@
-"""Plans what to do with each open job after a crash: finish it, or resume it. No I/O, no clock."""
+"""Plans for each open job after a crash whether to finish or to resume it. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from locktide.durable.log.records import LeaseGranted, WriterStarted
 from locktide.scheduler.events import RecoveredAttempt
 
-#: Status of a job that ended before it may have run.
+#: Status of a job that ended and of which no attempt can have run.
 REJECTED_STATUS = HTTPStatus.SERVICE_UNAVAILABLE
-#: Status of a job that ended after it may have run.
+#: Status of a job that ended and of which an attempt may have run.
 FAILED_STATUS = HTTPStatus.BAD_GATEWAY
-#: Microseconds that stand for a time of unknown length, longer than any deduplication window.
+#: Microseconds that represent an unknown elapsed time; longer than any deduplication window.
 UNKNOWN_SPAN = 10**15
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """The machine's clocks.
+    """A reading of the machine's clocks.
 
     Attributes:
-        wall_time: Unix time in microseconds, which may be set.
-        boot_id: Names the machine's run since its last boot.
-        uptime: Microseconds since that boot, which cannot be set.
+        wall_time: Unix time in microseconds; this clock can be set.
+        boot_id: Identifies the current boot of the machine.
+        uptime: Microseconds since that boot; this clock cannot be set.
     """
 
     wall_time: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ElapsedBounds:
-    """Bounds on the time since the last process wrote, in microseconds."""
+    """Bounds on the time since the last record was written, in microseconds."""
 
     at_least: int
     at_most: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class FinishJob:
-    """A job whose deadline has passed: its final response, for its client to fetch."""
+    """A job whose deadline has passed, and the status of the final response that it gets."""
 
     job: Job
     status: int
@@ -55,9 +55,9 @@
 
     Attributes:
         job: The job.
-        deadline: When it is given up, in microseconds of the dispatcher's clock.
-        attempts: What is known of each attempt, in the order of their leases.
-        pending: Indexes of the attempts without an outcome, which are waited for.
+        deadline: The deadline of the job, in microseconds of the dispatcher's clock.
+        attempts: The earlier attempts, in the order of their leases.
+        pending: Indexes of the attempts without an outcome; the dispatcher waits for these.
     """
 
     job: Job
@@ -70,12 +70,12 @@
 
 
 def elapsed_since(writer: WriterStarted | None, last_recorded_at: int, now: ClockReading) -> ElapsedBounds:
-    """Return the time since the last record.
+    """Return bounds on the time since the last record was written.
 
-    On the same boot it is known by the uptime, whatever the clock was set to. On another boot there is only
-    the clock. Where it shows a time before the last record, it was set back, and nothing is known of how
-    long no dispatcher ran: the least is nothing, so that no deadline is cut short, and the most is longer
-    than any deduplication window, so that nothing is sent twice. Held by
+    On the same boot the uptime gives the exact time, even if the wall clock was set. On another boot there is
+    only the wall clock. If it shows a time before the last record, it was set back, and the time for which no
+    dispatcher ran is unknown: the lower bound is then zero, so that no deadline is shortened, and the upper
+    bound is longer than any deduplication window, so that no job is sent twice. Verified by
     `test_elapsed_time_follows_the_boot_clock_when_the_wall_clock_is_set` and
     `test_nothing_is_retried_after_the_clock_stepped_back`.
     """
@@ -94,14 +94,14 @@
 def plan(table: JobTable, leases: LeaseTable, elapsed: ElapsedBounds, now: int) -> list[RecoveryStep]:
     """Plan a step for each open job, oldest first, and take over the leases whose attempts have no outcome.
 
-    Times of the last process are brought onto the clock of this one, on which `now` is. Deadlines and
-    leases are moved by the least time that can have elapsed, so that none is cut short; the times of
-    attempts by the most, so that nothing is retried past its deduplication window.
+    Times in the log are converted to the clock of this process. Deadlines and leases are converted with the
+    shortest possible elapsed time, so that none is shortened; the times of attempts with the longest possible
+    one, so that no attempt is retried after its deduplication window.
 
     Args:
         table: The jobs of the log.
-        leases: The leases of this process, which gets those that are taken over.
-        elapsed: The time since the last record.
+        leases: The leases of this process, to which the leases that are taken over are added.
+        elapsed: Bounds on the time since the last record.
         now: The dispatcher's time, in microseconds.
     """
     planner = _Planner(
@@ -115,13 +115,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _Planner:
-    """Plans the step for one job after the other.
+    """Plans the step for each job.
 
     Attributes:
         leases: The leases of this process.
         now: The dispatcher's time, in microseconds.
-        offset: Microseconds to add to deadlines and times of leases.
-        attempt_offset: Microseconds to add to the times of attempts.
+        offset: Microseconds to add to recorded deadlines and expiry times of leases.
+        attempt_offset: Microseconds to add to the recorded times of attempts.
     """
 
     leases: LeaseTable
--- a/locktide/durable/resumption.py
+++ b/locktide/durable/resumption.py
@@ -1,4 +1,4 @@
-"""Recovers the jobs of an earlier process: finishes those past their deadline, and resumes the others."""
+"""Recovers the jobs of an earlier process: finishes those past their deadline and resumes the others."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from locktide.durable.recovery import ClockReading, FinishJob, RecoveryStep, ResumeJob
 from locktide.transport.interfaces import Response
 
-#: Batches of resumed jobs a second: small enough ones not to look like a burst to the workers.
+#: Batches of resumed jobs per second: enough that a single batch is no burst for the workers.
 BATCHES_PER_SECOND = 20
 #: Seconds between two batches.
 RESUME_INTERVAL = 1 / BATCHES_PER_SECOND
 
 
 class JobResumption:
-    """Carries out the recovery plan, at a limited rate.
+    """Carries out the recovery plan at a limited rate.
 
     Attributes:
-        batch_size: Jobs that are resumed at once.
+        batch_size: How many jobs are resumed together.
     """
 
     def __init__(self, context: JobContext, completion: JobCompletion) -> None:
@@ -35,7 +35,7 @@
         self.log = context.log
 
     async def recover(self, clocks: ClockReading) -> None:
-        """Recover all open jobs, after the log was opened and before the dispatcher serves."""
+        """Recover all open jobs, after the log was opened and before the dispatcher serves requests."""
         table = self.write_ahead_log.table
         elapsed = recovery.elapsed_since(table.writer, table.last_recorded_at, clocks)
         now = self.dispatcher.now()
@@ -52,10 +52,10 @@
             self.completion.finish(step.job.job_id, response)
 
     def _resume_all(self, steps: Sequence[ResumeJob]) -> None:
-        """Resume jobs that may still run at once, and the others at the configured rate.
+        """Resume jobs with a pending attempt immediately, and the others at the configured rate.
 
-        Jobs that may still run are only waited for: they are no new load, and their workers may call at any
-        moment.
+        A job with a pending attempt is not sent again but waited for: it adds no load to the workers, and its
+        worker may report at any moment.
         """
         for step in steps:
             if step.pending:
@@ -80,7 +80,7 @@
         )
 
     async def _resume_at_rate(self, steps: Sequence[ResumeJob]) -> None:
-        """Resume jobs oldest first, at the configured rate: a start must not overload the workers."""
+        """Resume jobs oldest first, at the configured rate: a restart must not overload the workers."""
         for index, step in enumerate(steps):
             if index and index % self.batch_size == 0:
                 await asyncio.sleep(RESUME_INTERVAL)
--- a/locktide/durable/units.py
+++ b/locktide/durable/units.py
@@ -1,4 +1,4 @@
-"""Units of time: settings and headers are in seconds, everything else in whole microseconds."""
+"""Units of time: settings and headers are in seconds, all other times in whole microseconds."""
 
 from __future__ import annotations
 
--- a/locktide/durable/waiters.py
+++ b/locktide/durable/waiters.py
@@ -17,11 +17,12 @@
 
 
 class JobWaiters:
-    """The waiting clients of each job, and when each gets its response.
+    """The waiting clients of each job; decides when each client gets its response.
 
     Attributes:
-        waiters_by_job: The responses that wait for a job, by its id.
-        waiters_by_request: The same by the id of the request, which differs where a key was submitted again.
+        waiters_by_job: The response futures of the clients that wait for a job, by the id of the job.
+        waiters_by_request: The same futures by the id of the client's request, which differs from the job's
+            id in a repeated submission.
     """
 
     def __init__(self, state: DurableState, tasks: BackgroundTasks) -> None:
@@ -33,10 +34,10 @@
     def add(
         self, job_id: str, request: SubmitRequest, preference: Preference, response: ResponseFuture
     ) -> None:
-        """Set `response` to the final response of a job, or to an early one as the client prefers."""
+        """Set `response` later to the job's final response, or to an early one if the client prefers that."""
         self.waiters_by_request[request.id] = response
         response.add_done_callback(lambda _: self.waiters_by_request.pop(request.id, None))
-        if self.state.is_settled(job_id):
+        if self.state.is_final_response_stored(job_id):
             response.set_result(final_response(self.state.table.jobs[job_id]))
             return
         self.waiters_by_job.setdefault(job_id, []).append(response)
@@ -44,7 +45,7 @@
         if preference.respond_async:
             self.tasks.spawn(self._respond_early(job_id, preference.wait, response))
         else:
-            # The timeout of this request may end before the deadline of the job, which may be an earlier one.
+            # The job may be from an earlier submission, and its deadline later than the end of this timeout.
             loop = asyncio.get_running_loop()
             time_left = request.time_left(loop.time()) / MICROSECONDS_PER_SECOND
             loop.call_later(time_left, self._time_out, job_id, response)
@@ -56,7 +57,7 @@
                 waiter.set_result(replace(response, headers=list(response.headers)))
 
     def cancel(self, request_id: str) -> None:
-        """Drop the response of a client that has disconnected; its job goes on."""
+        """Drop the response for a client that has disconnected; its job continues."""
         if (response := self.waiters_by_request.get(request_id)) is not None:
             response.cancel()
 
@@ -68,11 +69,11 @@
             self.waiters_by_job.pop(job_id, None)
 
     async def _respond_early(self, job_id: str, wait: float, response: ResponseFuture) -> None:
-        """Respond that the job is pending, once it is on the disk and the client's wait is over."""
-        if (acceptance := self.state.accepting.get(job_id)) is not None:
+        """Respond that the job is open, once it is on the disk and the client's wait has elapsed."""
+        if (acceptance := self.state.acceptance_writes.get(job_id)) is not None:
             await asyncio.wait([acceptance])
             if acceptance.exception() is not None:
-                return  # the job was rejected, and its acceptance responds so
+                return  # `JobAcceptance` has rejected the job and sends the response
         if wait:
             await asyncio.wait([response], timeout=wait)
         if not response.done():
--- a/tests/durable/log/test_write_ahead_log.py
+++ b/tests/durable/log/test_write_ahead_log.py
@@ -160,7 +160,7 @@
         writes = [log.append(accepted_job("half")), log.append(accepted_job("waiting"))]
         results = await asyncio.gather(*writes, return_exceptions=True)
         assert [type(result) for result in results] == [LogWriteError, LogWriteError]
-        with pytest.raises(LogWriteError, match="could not be taken back"):
+        with pytest.raises(LogWriteError, match="partial write could not be removed"):
             await log.append(accepted_job("later"))
         platter.synced = {file: len(data) for file, data in platter.files.items()}  # the half is on the disk
         platter.crash()
--- a/tests/durable/test_disk.py
+++ b/tests/durable/test_disk.py
@@ -35,7 +35,7 @@
     second = subprocess.run(
         [sys.executable, "-c", OPEN_LOG, str(tmp_path)], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    assert "another dispatcher has it" in second.stderr and sorted(tmp_path.iterdir()) == files
+    assert "in use by another dispatcher" in second.stderr and sorted(tmp_path.iterdir()) == files
     with pytest.raises(DirectoryInUseError):
         WriteAheadLog(DirectoryStorage(tmp_path), 1 << 20).open()
     first.close()
--- a/tests/durable/test_job_service.py
+++ b/tests/durable/test_job_service.py
@@ -111,7 +111,7 @@
     assert status == 202 and json.loads(body)["state"] == "open"
     assert list(json.loads(body)) == ["id", "state", "dispatches"]  # keys that clients read
     refused = run_cli("serve", installation.path)
-    assert refused.returncode == 1 and "another dispatcher has it" in refused.stderr
+    assert refused.returncode == 1 and "in use by another dispatcher" in refused.stderr
     process.send_signal(signal.SIGKILL)
     process.wait()
     process = installation.start()
--- a/tests/durable/test_write_order.py
+++ b/tests/durable/test_write_order.py
@@ -96,7 +96,7 @@
         await asyncio.sleep(2 * SYNC_TIME)
         parts.completion.finish("a", Response(200, b"collected"))
         await asyncio.sleep(0.9 * SYNC_TIME)
-        assert not response.done() and not parts.state.is_settled("a")
+        assert not response.done() and not parts.state.is_final_response_stored("a")
         assert ((await response).status, (await response).body) == (200, b"collected")
         platter.crash()
         finished = open_log(platter).table.jobs["a"].finished
