--- a/locktide/__main__.py
+++ b/locktide/__main__.py
@@ -1,11 +1,11 @@
-"""Starts one real dispatcher from the GW_* variables, and sets the exit code."""
+"""Runs one dispatcher that is configured by the GW_* variables, and sets the exit code."""
 
 from __future__ import annotations
 
 from locktide.dispatcher.signals import hold_back_signals
 
 if __name__ == "__main__":
-    hold_back_signals()  # before the imports below, which take a good part of the start
+    hold_back_signals()  # before the imports below, which take much of the start-up time
 
 import asyncio
 import os
@@ -20,15 +20,17 @@
 
 def main() -> int:
     try:
-        told = read_start(os.environ)
-        known = discovery.read(told.cached_endpoints, "known")
-    except ConfigError as trouble:
-        print(f"locktide: {trouble}", file=sys.stderr)
+        start = read_start(os.environ)
+        known_endpoints = discovery.read(start.cached_endpoints, "known")
+    except ConfigError as error:
+        print(f"locktide: {error}", file=sys.stderr)
         return 2
     try:
-        asyncio.run(serve(told, known, Log(told.name), lambda: read_start(os.environ, is_reload=True)))
-    except OSError as trouble:
-        print(f"locktide: listen: {trouble}", file=sys.stderr)
+        asyncio.run(
+            serve(start, known_endpoints, Log(start.name), lambda: read_start(os.environ, is_reload=True))
+        )
+    except OSError as error:
+        print(f"locktide: listen: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/locktide/bench_adapter/__init__.py
+++ b/locktide/bench_adapter/__init__.py
@@ -1,5 +1,5 @@
-"""The scheduler behind the wire of the simulator: it translates, and decides nothing.
+"""Runs the scheduler behind the wire of the simulator; the adapter translates, and decides nothing.
 
-`line` parses one line, `spellings` has the words that are read, `decoding` makes events of lines and
-`encoding` makes lines of commands; `adapter` reads batches and runs the schedulers.
+`line` parses one line, `spellings` defines the names that are read, `decoding` turns lines into events and
+`encoding` turns commands into lines; `adapter` reads batches and runs the schedulers.
 """
--- a/locktide/bench_adapter/adapter.py
+++ b/locktide/bench_adapter/adapter.py
@@ -26,12 +26,12 @@
 
 
 class Batch:
-    """The lines of one batch, as far as they are read.
+    """The state of one batch while it is read.
 
     Attributes:
-        lines: the lines of the batch that follow.
+        lines: the lines that are not read yet.
         instance: the instance that the next lines are for; None before the first line that names one.
-        events: the events of each instance, in the order in which their commands go out.
+        events: the events of each instance; the reply has the instances in the same order.
     """
 
     def __init__(self, lines: Iterator[str]) -> None:
@@ -41,11 +41,11 @@
 
 
 class BenchAdapter:
-    """Reads batches, hands the events of each instance to its scheduler, and returns one reply a batch.
+    """Reads batches, passes the events of each instance to its scheduler, and returns a reply per batch.
 
     Attributes:
         schedulers: the scheduler of each started instance.
-        endpoint_lists: the endpoint lists that batches have sent, by their id on the wire.
+        endpoint_lists: the endpoint lists that batches contained, by their id on the wire.
         line_number: the number of the line that was read last, from 1.
     """
 
@@ -74,7 +74,7 @@
         """Read one batch, from its opening line to its end, and return its reply.
 
         Raises:
-            MalformedLineError: a line is not as the wire allows, or the batch has no end.
+            MalformedLineError: a line is malformed, or the batch has no end.
         """
         now = _read_clock(opening)
         batch = Batch(lines)
@@ -95,7 +95,7 @@
     def _handle_control_message(self, message: str, fields: Fields, batch: Batch) -> None:
         handler = self._control_handlers.get(message)
         if handler is None:
-            raise MalformedLineError("a message of the wire page", repr(message))
+            raise MalformedLineError("a message of the wire", repr(message))
         handler(fields, batch)
 
     def _started_instance(self, batch: Batch) -> int:
@@ -121,7 +121,7 @@
     def _stored_endpoint_list(self, fields: Fields) -> list[EndpointEntry]:
         list_id = read_integer(fields, spellings.LIST_ID)
         if list_id not in self.endpoint_lists:
-            expected = f"a {spellings.LIST_ID} that a {spellings.ENDPOINT_LIST} has set up"
+            expected = f"a {spellings.LIST_ID} that a {spellings.ENDPOINT_LIST} has defined"
             raise MalformedLineError(expected, str(list_id))
         return self.endpoint_lists[list_id]
 
@@ -150,10 +150,10 @@
         return "\n".join(lines).encode()
 
     def _step(self, now: int, instance: int, events: list[Event]) -> list[str]:
-        """Return the lines of the commands of one scheduler; the line that fails the instance on an error."""
+        """Return the commands of one scheduler as lines; on an error, the line that fails the instance."""
         try:
             return encode_commands(self.schedulers[instance].step(now, events))
-        except Exception as error:  # protects the other instances of this process
+        except Exception as error:  # must not end the other instances of this process
             traceback.print_exc(file=sys.stderr)
             return [encode_instance_failure(error)]
 
--- a/locktide/bench_adapter/decoding.py
+++ b/locktide/bench_adapter/decoding.py
@@ -1,4 +1,4 @@
-"""Makes events, endpoint entries and configurations of the wire's messages."""
+"""Decodes the wire's messages to events, endpoint entries and configurations."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
 
 EventDecoder: TypeAlias = Callable[[Fields], Event | None]
 
-#: Rating of a worker whose entry gives none.
+#: Default rating of a worker.
 DEFAULT_RATING = 1.0
-#: Width of a request that gives none, in slots.
+#: Default width of a request, in slots.
 DEFAULT_WIDTH = 1.0
 
 
@@ -48,7 +48,7 @@
     try:
         return scheduler_config(JsonObject(json.loads(settings), spellings.SETTINGS))
     except (ConfigError, ValueError) as error:
-        raise MalformedLineError(f"settings as on the wire page: {error}") from error
+        raise MalformedLineError(f"valid settings: {error}") from error
 
 
 def decode_endpoint(line: str) -> EndpointEntry:
@@ -91,7 +91,7 @@
 
 
 def decode_worker_report(fields: Fields) -> AttemptStarted | AttemptProgressed | None:
-    """Return what a worker reported of a running job; None for a report that has no event."""
+    """Return the event of a worker's report on a running job; None for a report that has no event."""
     kind = read_integer(fields, spellings.REPORT_KIND)
     if kind == spellings.REPORT_STARTED:
         return AttemptStarted(
@@ -118,17 +118,17 @@
 
 
 def decode_client_disconnect(fields: Fields) -> ClientDisconnected:
-    """Return that the client of a request has given up."""
+    """Return the event that the client of a request has disconnected."""
     return ClientDisconnected(read_integer(fields, spellings.REQUEST_ID))
 
 
 def decode_timer(fields: Fields) -> TimerFired:
-    """Return that a timer has fired."""
+    """Return the event that a timer has fired."""
     return TimerFired(read_integer(fields, spellings.TIMER_ID))
 
 
 def decode_probe(fields: Fields) -> ProbeCompleted:
-    """Return the end of a health check."""
+    """Return the end of a probe."""
     return ProbeCompleted(
         worker=read_text(fields, spellings.WORKER),
         outcome=read_choice(spellings.OUTCOMES, fields, spellings.OUTCOME),
@@ -137,7 +137,7 @@
 
 
 def ignore_peer_message(_fields: Fields) -> None:
-    """Drop what another dispatcher said: ours send nothing that one would answer."""
+    """Ignore a message of another dispatcher: schedulers here send none that would be answered."""
 
 
 EVENT_DECODERS: Mapping[str, EventDecoder] = {
--- a/locktide/bench_adapter/encoding.py
+++ b/locktide/bench_adapter/encoding.py
@@ -1,4 +1,4 @@
-"""Makes lines of the scheduler's commands; each form of line is written out here, and only here."""
+"""Encodes the scheduler's commands as lines; the form of each line is defined here only."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def encode_watch_endpoints(command: WatchEndpoints) -> str:
-    """Return the line that starts or stops following the endpoint list."""
+    """Return the line that starts or stops the watch on the endpoint list."""
     return f"STREAM_CHANGES Want={int(command.enabled)}"
 
 
@@ -68,9 +68,9 @@
 
 
 def raise_internal_error(command: ReportInternalError) -> NoReturn:
-    """Raise the error that the scheduler reported: on the bench the instance fails with it.
+    """Raise the error that the scheduler reported, so that the instance fails with it.
 
-    A dispatcher survives such an error; here a run must not be counted that had one.
+    A dispatcher survives such an error, but a run of the bench in which one occurs must not count.
     """
     raise RuntimeError(command.detail)
 
@@ -86,7 +86,7 @@
 
 
 def one_line(text: str) -> str:
-    """Return the text with every run of white space as one space, as a line of the wire has to be."""
+    """Replace every run of white space by one space, as a message of the wire is a single line."""
     return " ".join(text.split())
 
 
--- a/locktide/bench_adapter/errors.py
+++ b/locktide/bench_adapter/errors.py
@@ -14,7 +14,7 @@
 
     Attributes:
         expected: what the wire allows there.
-        found: what the line has instead; None where it lacks what was expected.
+        found: what the line has instead; None where it has nothing there.
     """
 
     def __init__(self, expected: str, found: str | None = None) -> None:
--- a/locktide/bench_adapter/line.py
+++ b/locktide/bench_adapter/line.py
@@ -1,4 +1,4 @@
-"""Parses lines of the wire: a message, then `name=value` fields apart by spaces."""
+"""Parses lines of the wire: a message, then `name=value` fields separated by spaces."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def microseconds(text: str) -> int:
-    """Return a time in milliseconds, with fractions, in whole microseconds."""
+    """Convert a time in milliseconds, with fractions, to whole microseconds."""
     try:
         return round(float(text) * MICROSECONDS_PER_MILLISECOND)
     except (ValueError, OverflowError) as error:
@@ -42,12 +42,12 @@
 
 
 def milliseconds(duration: int) -> str:
-    """Return a time in microseconds as the wire spells it, in milliseconds."""
+    """Format a time in microseconds as the wire spells it, in milliseconds."""
     return f"{duration / MICROSECONDS_PER_MILLISECOND:.3f}"
 
 
 def read_text(fields: Fields, name: str) -> str:
-    """Return a field that has to be there."""
+    """Return the value of a required field."""
     try:
         return fields[name]
     except KeyError as error:
@@ -55,7 +55,7 @@
 
 
 def read_integer(fields: Fields, name: str) -> int:
-    """Return a whole number that has to be there."""
+    """Return the whole number in a required field."""
     try:
         return int(fields[name])
     except KeyError as error:
@@ -65,7 +65,7 @@
 
 
 def read_number(fields: Fields, name: str, default: float) -> float:
-    """Return a number, or the default where the field is absent."""
+    """Return the number in a field, or the default where the field is absent."""
     text = fields.get(name)
     if text is None:
         return default
@@ -76,7 +76,7 @@
 
 
 def read_choice(choices: Mapping[str, Choice], fields: Fields, name: str) -> Choice:
-    """Return the member of a table that the value of a field means."""
+    """Return the member of `choices` that the value of a required field names."""
     try:
         return choices[fields[name]]
     except KeyError as error:
@@ -85,7 +85,7 @@
 
 
 def read_load(fields: Fields) -> dict[str, float]:
-    """Return the load that a worker reported, by the name of the measure; empty where it reported none."""
+    """Return the load that a worker reported, by the name of its measure; empty where it reported none."""
     text = fields.get(spellings.LOAD, "")
     if text in spellings.NO_LOAD:
         return {}
--- a/locktide/bench_adapter/spellings.py
+++ b/locktide/bench_adapter/spellings.py
@@ -1,4 +1,7 @@
-"""Words of the simulator's wire that the adapter reads: messages, fields and values, by our terms."""
+"""Names of the simulator's wire that the adapter reads: messages, fields and values.
+
+The constants are named by the terms of this project.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 ENDPOINT = "ITEM"
 ENDPOINT_LIST_UPDATE = "UPDATE"
 
-# Messages that are events of the scheduler.
+# Messages that are decoded to events of the scheduler.
 REQUEST_ARRIVED = "QUERY"
 RESPONSE_STARTED = "HEADERS"
 WORKER_REPORT = "NOTE"
@@ -90,7 +93,7 @@
     "TOO_LATE": AttemptOutcome.NEVER_SENT,
 }
 
-#: Members of the enums above that the wire has no spelling for, each with the reason.
+#: Members of the enums above that have no spelling on the wire, each with the reason.
 WITHOUT_SPELLING: Mapping[ListUpdateKind | AttemptOutcome, str] = {
     ListUpdateKind.FETCH_TIMED_OUT: "the simulator reports every failed fetch alike, as FAILED",
     AttemptOutcome.UNPROCESSABLE: "requests of the simulator have no content that a worker could reject",
--- a/locktide/cli/__init__.py
+++ b/locktide/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: reads arguments, calls the parts, prints what they give, sets the exit code."""
+"""The command line: parses arguments, runs the commands, prints their results, sets the exit code."""
--- a/locktide/cli/check.py
+++ b/locktide/cli/check.py
@@ -1,4 +1,4 @@
-"""`locktide check`: reads a file as its command would, and names all its faults."""
+"""`locktide check`: reads files as the command that uses them does, and reports all their faults."""
 
 from __future__ import annotations
 
@@ -8,27 +8,31 @@
 import click
 import msgspec
 
-from locktide.cli.faulty import refuse
+from locktide.cli.faulty import exit_with_errors
 from locktide.config.errors import ConfigError, ConfigFileError
 from locktide.config.installation.document import Installation
 from locktide.config.installation.loading import load_installation
 from locktide.config.toml_reader import describe_keys
-from locktide.simulation.model import scenario as script
+from locktide.simulation.model import scenario as scenarios
 
 
-def kind_of(path: Path) -> str:
-    """An installation or a rehearsal, by the tables that only one of them has."""
+def detect_kind(path: Path) -> str:
+    """Return "installation" or "rehearsal", by the top-level keys that only one of them has."""
     try:
         keys = set(tomllib.loads(path.read_text(encoding="utf-8")))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError):
-        return "installation"  # whose reader tells what is wrong
-    ours = {field.encode_name for field in msgspec.structs.fields(Installation)}
-    theirs = {field.encode_name for field in msgspec.structs.fields(script.Scenario)}
-    return "rehearsal" if len(keys & theirs - ours) > len(keys & ours - theirs) else "installation"
+        return "installation"  # its reader reports the fault
+    installation_keys = {field.encode_name for field in msgspec.structs.fields(Installation)}
+    scenario_keys = {field.encode_name for field in msgspec.structs.fields(scenarios.Scenario)}
+    return (
+        "rehearsal"
+        if len(keys & scenario_keys - installation_keys) > len(keys & installation_keys - scenario_keys)
+        else "installation"
+    )
 
 
-def with_path(error: ConfigError, path: Path) -> ConfigError:
-    """The fault with the file before its key, where it does not begin with the file already."""
+def prepend_path(error: ConfigError, path: Path) -> ConfigError:
+    """Return the error with the path before its key, unless it already begins with the path."""
     text = str(error)
     if text.startswith(str(path)):
         return error
@@ -42,34 +46,37 @@
     "kind",
     type=click.Choice(["auto", "installation", "rehearsal"]),
     default="auto",
-    help="What the files are; by default told by their tables.",
+    help="Kind of the files; by default it is detected by their tables.",
+)
+@click.option(
+    "--keys", is_flag=True, help="List every key of that kind of file with its default and its meaning."
 )
-@click.option("--keys", is_flag=True, help="List every key of that kind with its default and its meaning.")
 def check(files: tuple[Path, ...], kind: str, keys: bool) -> None:
-    """Check configuration files: an installation's (deploy/locktide.toml) or a rehearsal's script.
+    """Check the configuration files of installations (deploy/locktide.toml) or of scenarios (rehearsals).
 
-    Names every fault of every file, as part.key: what was expected, what was found; exit code 2 for any.
+    Prints every fault of every file as section.key: what was expected, what was found. Exit code 2 if there
+    is any.
     """
     if keys:
-        of: type[msgspec.Struct] = Installation
+        section: type[msgspec.Struct] = Installation
         if kind == "rehearsal":
-            of = script.Scenario
-        for key in describe_keys(of):
+            section = scenarios.Scenario
+        for key in describe_keys(section):
             click.echo(f"{key.path:32} {key.default:24} {key.description}")
         return
     if not files:
         raise click.UsageError("name at least one file, or --keys")
-    faults: list[ConfigError] = []
+    errors: list[ConfigError] = []
     for path in files:
-        chosen = kind_of(path) if kind == "auto" else kind
+        file_kind = detect_kind(path) if kind == "auto" else kind
         try:
-            if chosen == "rehearsal":
-                script.load(path)
+            if file_kind == "rehearsal":
+                scenarios.load(path)
             else:
                 load_installation(path)
-        except ConfigFileError as found:
-            faults += [with_path(error, path) for error in found.errors]
+        except ConfigFileError as file_error:
+            errors += [prepend_path(error, path) for error in file_error.errors]
         else:
-            click.echo(f"{path}: good ({chosen})")
-    if faults:
-        refuse(ConfigFileError(faults))
+            click.echo(f"{path}: good ({file_kind})")
+    if errors:
+        exit_with_errors(ConfigFileError(errors))
--- a/locktide/cli/entry.py
+++ b/locktide/cli/entry.py
@@ -1,6 +1,7 @@
-"""The `locktide` script: holds back the signals of a dispatcher, then loads the command line.
+"""The entry point of the `locktide` command: holds back the signals of a dispatcher, then loads the commands.
 
-Imports nothing that takes long, so that a reload in the first moments of a start does not end the process.
+Only modules that load fast are imported here: a signal for a reload that arrives before signals are held back
+ends the process.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 def hold_back_signals_of_serve() -> None:
-    """Hold back the signals of a dispatcher where the command is one; other commands end by them."""
+    """Hold back the signals of a dispatcher if the command is `serve`; other commands are ended by them."""
     if sys.argv[1:2] == ["serve"]:
         hold_back_signals()
 
@@ -19,6 +20,6 @@
 def main() -> None:
     """Run the command line."""
     hold_back_signals_of_serve()
-    from locktide.cli.main import main as run_command  # its imports take a good part of the start
+    from locktide.cli.main import main as run_command  # its imports take much of the start-up time
 
     run_command()
--- a/locktide/cli/faulty.py
+++ b/locktide/cli/faulty.py
@@ -1,4 +1,4 @@
-"""How a faulty file is told: every fault on a line of its own, exit code 2."""
+"""Reports the faults of a file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from locktide.config.errors import ConfigFileError
 
 
-def refuse(faults: ConfigFileError, where: str = "") -> NoReturn:
-    for line in faults.lines:
-        print(f"locktide: {where + ': ' if where else ''}{line}", file=sys.stderr)
+def exit_with_errors(errors: ConfigFileError, path: str = "") -> NoReturn:
+    """Print each fault on a line of its own, after the path if one is given, and exit with code 2."""
+    for line in errors.lines:
+        print(f"locktide: {path + ': ' if path else ''}{line}", file=sys.stderr)
     sys.exit(2)
--- a/locktide/cli/jobs.py
+++ b/locktide/cli/jobs.py
@@ -1,4 +1,4 @@
-"""`locktide jobs`: reads the write-ahead log of durable jobs without changing it, also while it is in use."""
+"""`locktide jobs`: reads the write-ahead log of durable jobs, also while it is in use; changes nothing."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def read_directory(directory: Path) -> tuple[JobTable, LogContents]:
-    """Reads the log of a directory; exits with 2 where there is none, with 1 where it cannot be read."""
+    """Read the log in a directory; exit with 2 if there is no directory, with 1 if the log cannot be read."""
     if not directory.is_dir():
         print(f"locktide: {directory}: no such directory", file=sys.stderr)
         sys.exit(2)
@@ -29,7 +29,7 @@
     except (NewerFormatError, ForeignFileError) as error:
         print(f"locktide: {error}", file=sys.stderr)
         sys.exit(1)
-    except FileNotFoundError:  # compacted while we read: what is there now holds all
+    except FileNotFoundError:  # compacted during the read: the files that are there now have all records
         return _read(directory)
 
 
@@ -40,12 +40,12 @@
 
 
 def format_time(unix_microseconds: int) -> str:
-    """Returns a time as ISO 8601 in UTC."""
+    """Return a time as ISO 8601 in UTC."""
     return datetime.fromtimestamp(unix_microseconds / 1e6, UTC).isoformat(timespec="milliseconds")
 
 
 def export_job(job: Job) -> dict[str, Any]:
-    """Returns a job as plain values, under the keys of the exported JSON; bodies are in base64."""
+    """Return a job as plain values, under the keys of the exported JSON; bodies are in base64."""
     accepted = job.accepted
     finished = job.finished
     return {
@@ -94,7 +94,7 @@
 
 @click.group()
 def jobs() -> None:
-    """Read a journal of durable jobs: list, show, verify, export. Nothing is changed."""
+    """Read the write-ahead log of durable jobs: list, show, verify, export. Nothing is changed."""
 
 
 DIRECTORY = click.argument("directory", type=click.Path(path_type=Path))
@@ -102,9 +102,11 @@
 
 @jobs.command("list")
 @DIRECTORY
-@click.option("--state", type=click.Choice(list(JOB_STATE_WORDS.values())), help="Only these.")
+@click.option(
+    "--state", type=click.Choice(list(JOB_STATE_WORDS.values())), help="List only jobs in this state."
+)
 def list_jobs(directory: Path, state: str | None) -> None:
-    """One line for each job that is open or kept, oldest first."""
+    """List the jobs that are open or retained, one a line, oldest first."""
     table, _ = read_directory(directory)
     for job in _oldest_first(table):
         job_state = JOB_STATE_WORDS[job.state]
@@ -118,7 +120,7 @@
 @DIRECTORY
 @click.argument("job_id", metavar="ID")
 def show(directory: Path, job_id: str) -> None:
-    """All that is known of one job, as JSON; also late words of workers whose lease had ended."""
+    """Show one job as JSON, including late reports of workers whose lease had ended."""
     table, _ = read_directory(directory)
     if job_id not in table.jobs:
         print(f"locktide: {job_id}: no such job in {directory}", file=sys.stderr)
@@ -129,14 +131,14 @@
 @jobs.command()
 @DIRECTORY
 def verify(directory: Path) -> None:
-    """Read everything and say what is wrong. Exit code 1 for damage; a torn end is not damage."""
+    """Read the whole log and report its faults. Exit code 1 for damage; a torn end is not damage."""
     table, contents = read_directory(directory)
     click.echo(
         f"{contents.segment_count} segments, {contents.record_count} records, {contents.byte_count} bytes"
     )
     click.echo(f"{table.open_count} jobs open, {len(table.jobs) - table.open_count} finished and kept")
     for fault in contents.torn:
-        click.echo(f"torn end, never promised to anybody: {fault}")
+        click.echo(f"torn end, never acknowledged: {fault}")
     for fault in contents.damaged:
         click.echo(f"DAMAGED: {fault}")
     sys.exit(1 if contents.damaged else 0)
@@ -145,7 +147,7 @@
 @jobs.command()
 @DIRECTORY
 def export(directory: Path) -> None:
-    """Every job as a line of JSON."""
+    """Export every job as a line of JSON."""
     table, _ = read_directory(directory)
     for job in _oldest_first(table):
         click.echo(json.dumps(export_job(job)))
@@ -154,25 +156,32 @@
 @jobs.command()
 @DIRECTORY
 @click.option("--count", default=3000, show_default=True, type=click.IntRange(64), help="Jobs to accept.")
-@click.option("--sizes", default="1000,10000,100000", show_default=True, help="Open jobs to recover.")
-@click.option("--times", default=3, show_default=True, type=click.IntRange(1, 100), help="Recoveries each.")
+@click.option(
+    "--sizes", default="1000,10000,100000", show_default=True, help="Numbers of open jobs to recover."
+)
+@click.option(
+    "--times", default=3, show_default=True, type=click.IntRange(1, 100), help="Recoveries of each size."
+)
 def measure(directory: Path, count: int, sizes: str, times: int) -> None:
-    """What a journal below DIRECTORY costs on its disk. Takes a minute; what it writes is removed again."""
+    """Measure what a write-ahead log below DIRECTORY costs on its disk.
+
+    Takes a minute; all files that are written are removed again.
+    """
     # Imported here: only this command needs it.
     from locktide.durable.measure import measure_acceptances, measure_recoveries
 
     single, group = measure_acceptances(directory, count)
     for name, cost in (("one sync each", single), ("group commit", group)):
         click.echo(
-            f"{name}: {cost.rate:.0f} jobs/s, accepted in {cost.p50 * 1000:.2f} ms (half), "
+            f"{name}: {cost.rate:.0f} jobs/s, accepted in {cost.p50 * 1000:.2f} ms (median), "
             f"{cost.p99 * 1000:.2f} ms (99%), {cost.sync_count} syncs for {cost.count} jobs"
         )
     click.echo(
-        f"group commit over one sync each: {group.rate / single.rate:.1f} times the jobs, "
-        f"{group.p99 / single.p99:.2f} of the 99% wait"
+        f"group commit relative to one sync each: {group.rate / single.rate:.1f} times the rate, "
+        f"{group.p99 / single.p99:.2f} times the 99% latency"
     )
     for recovery in measure_recoveries(directory, [int(size) for size in sizes.split(",")], times):
         click.echo(
             f"recovery of {recovery.job_count} open jobs: {recovery.mean:.3f} s mean, "
-            f"{recovery.worst:.3f} worst"
+            f"{recovery.worst:.3f} s worst"
         )
--- a/locktide/cli/logs.py
+++ b/locktide/cli/logs.py
@@ -1,4 +1,4 @@
-"""The log of everything but the platform's own path: one event name and its fields a line, by structlog."""
+"""The structured log of `locktide serve`: an event and its fields on each line, written by structlog."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 FORMATS = ("text", "json")
 
 
-def _plain(value: Any) -> Any:
-    """Return the value of an enum, which a program can compare, and any other value as it is."""
+def _unwrap_enum(value: Any) -> Any:
+    """Return the value of an enum member, which a program can compare, and any other value unchanged."""
     return value.value if isinstance(value, Enum) else value
 
 
-class Structured(Log):
-    """As the plain log, with the same limits on lines a second."""
+class StructuredLog(Log):
+    """Writes lines as text or JSON; limits their rate like the plain log."""
 
-    def __init__(self, name: str, form: str) -> None:
+    def __init__(self, name: str, line_format: str) -> None:
         super().__init__(name)
         renderer: Any = structlog.processors.JSONRenderer()
-        if form == "text":
+        if line_format == "text":
             renderer = structlog.dev.ConsoleRenderer(colors=False, pad_event_to=24)
         self.logger = structlog.wrap_logger(
             structlog.PrintLogger(sys.stderr),
@@ -36,9 +36,9 @@
     def write(self, line: str, dropped: int, event: str, fields: dict[str, Any]) -> None:
         if dropped:
             fields = {**fields, "left_out": dropped}
-        fields = {name: _plain(value) for name, value in fields.items()}
+        fields = {name: _unwrap_enum(value) for name, value in fields.items()}
         if not event:
-            # The decisions' own lines: a subject, a colon and what is said of it.
+            # Lines about the scheduler's decisions have no event id, only a text.
             event, fields = "said", {"line": line, **fields}
         with suppress(OSError):
             self.logger.msg(event, **fields)
--- a/locktide/cli/main.py
+++ b/locktide/cli/main.py
@@ -11,7 +11,7 @@
 
 import click
 
-# Each command with the module and function that implement it; a module is imported only for its own command.
+# Module and function of each command; a module is imported only for its own command.
 COMMANDS = {
     "check": ("check", "check"),
     "cluster": ("cluster", "cluster"),
@@ -24,7 +24,7 @@
 
 
 class LazyGroup(click.Group):
-    """Imports a command when it is run."""
+    """Imports the module of a command only when the command is looked up."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return list(COMMANDS)
@@ -45,8 +45,8 @@
 def main() -> None:
     """A dispatcher that pushes jobs to workers.
 
-    Exit codes: 0 good, 1 something broke or a rule was broken, 2 a faulty file or argument, 3 a run that came
-    too late to count, 130 interrupted.
+    Exit codes: 0 success, 1 a failure or a broken rule, 2 a faulty file or argument, 3 a run that was too
+    late to count, 130 interrupted.
     """
 
 
--- a/locktide/cli/serve.py
+++ b/locktide/cli/serve.py
@@ -1,4 +1,4 @@
-"""`locktide serve`: one dispatcher by an installation's file."""
+"""`locktide serve`: runs one dispatcher that is configured by the file of an installation."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 import click
 
-from locktide.cli.faulty import refuse
-from locktide.cli.logs import FORMATS, Structured
+from locktide.cli.faulty import exit_with_errors
+from locktide.cli.logs import FORMATS, StructuredLog
 from locktide.config.errors import ConfigError, ConfigFileError
 from locktide.config.installation.document import Installation
 from locktide.config.installation.loading import load_installation
@@ -19,68 +19,74 @@
 from locktide.config.start import Start
 from locktide.dispatcher.dispatcher import Dispatcher
 from locktide.dispatcher.service import AttachedService
-from locktide.dispatcher.service import serve as run
+from locktide.dispatcher.service import serve as run_dispatcher
 from locktide.protocol import discovery
 from locktide.transport.log import Log
 
 
-class Refused(Exception):
-    """A part does not start; the text begins with its key."""
+class ServiceStartError(Exception):
+    """An attached service does not start; the message begins with the key of its setting."""
 
 
-def parts(told: Installation, log: Log) -> list[Callable[[Dispatcher], Awaitable[AttachedService]]]:
-    """What the file switches on; a part that is off is not even imported."""
-    found: list[Callable[[Dispatcher], Awaitable[AttachedService]]] = []
-    if told.cluster.enabled:
+def enabled_services(
+    installation: Installation, log: Log
+) -> list[Callable[[Dispatcher], Awaitable[AttachedService]]]:
+    """Return what attaches each service that the file enables; one that is off is not even imported."""
+    attach_functions: list[Callable[[Dispatcher], Awaitable[AttachedService]]] = []
+    if installation.cluster.enabled:
         from locktide.cluster.bootstrap import join  # noqa: PLC0415
 
-        async def accord(node: Dispatcher) -> AttachedService:
+        async def attach_cluster(dispatcher: Dispatcher) -> AttachedService:
             try:
-                return await join(node.bridge, told, log)
-            except OSError as trouble:
-                raise Refused(f"accord.listen: {trouble}") from None
+                return await join(dispatcher.bridge, installation, log)
+            except OSError as error:
+                raise ServiceStartError(f"accord.listen: {error}") from None
 
-        found.append(accord)
-    if not told.durable_jobs.enabled:
-        return found
+        attach_functions.append(attach_cluster)
+    if not installation.durable_jobs.enabled:
+        return attach_functions
     from locktide.durable.bootstrap import attach_job_service
     from locktide.durable.errors import LogOpenError
 
-    async def durable(node: Dispatcher) -> AttachedService:
+    async def attach_durable_jobs(dispatcher: Dispatcher) -> AttachedService:
         try:
-            return await attach_job_service(node, told.durable_jobs, log)
-        except (LogOpenError, OSError) as trouble:
-            raise Refused(f"durable.directory: {trouble}") from None
+            return await attach_job_service(dispatcher, installation.durable_jobs, log)
+        except (LogOpenError, OSError) as error:
+            raise ServiceStartError(f"durable.directory: {error}") from None
 
-    return [durable, *found]
+    return [attach_durable_jobs, *attach_functions]
 
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path), default=Path("deploy/locktide.toml"))
-@click.option("--log-format", type=click.Choice(FORMATS), help="Overrides log.format of the file.")
+@click.option(
+    "--log-format", type=click.Choice(FORMATS), help="Format of log lines; overrides log.format of the file."
+)
 def serve(file: Path, log_format: str | None) -> None:
-    """Run one dispatcher by an installation's FILE, until SIGTERM. SIGHUP reads the file's roster anew."""
+    """Run one dispatcher as configured by FILE until SIGTERM; SIGHUP reloads FILE."""
     try:
-        told = load_installation(file)
-        begun = start_from_installation(told, secrets.randbits(62))
-        known = discovery.read(begun.cached_endpoints, "known")
-    except ConfigFileError as faults:
-        refuse(faults, str(file))
-    except ConfigError as trouble:
-        refuse(ConfigFileError([trouble]), str(file))
-
-    def again() -> Start:
+        installation = load_installation(file)
+        start = start_from_installation(installation, secrets.randbits(62))
+        known_endpoints = discovery.read(start.cached_endpoints, "known")
+    except ConfigFileError as errors:
+        exit_with_errors(errors, str(file))
+    except ConfigError as error:
+        exit_with_errors(ConfigFileError([error]), str(file))
+
+    def read_start_again() -> Start:
         try:
             return start_from_installation(load_installation(file), 0)
-        except ConfigFileError as faults:
-            raise ConfigError(str(file), "; ".join(faults.lines)) from None
+        except ConfigFileError as errors:
+            raise ConfigError(str(file), "; ".join(errors.lines)) from None
 
-    log = Structured(begun.name, log_format or told.log.format)
+    log = StructuredLog(start.name, log_format or installation.log.format)
     try:
-        asyncio.run(run(begun, known, log, again, parts(told, log)))
-    except Refused as trouble:
-        print(f"locktide: {trouble}", file=sys.stderr)
+        asyncio.run(
+            run_dispatcher(start, known_endpoints, log, read_start_again, enabled_services(installation, log))
+        )
+    except ServiceStartError as error:
+        print(f"locktide: {error}", file=sys.stderr)
         sys.exit(1)
-    except OSError as trouble:
-        print(f"locktide: serve.listen: {trouble}", file=sys.stderr)
+    except OSError as error:
+        print(f"locktide: serve.listen: {error}", file=sys.stderr)
         sys.exit(1)
--- a/locktide/cli/simulate.py
+++ b/locktide/cli/simulate.py
@@ -1,4 +1,4 @@
-"""`locktide simulate`: plays scripts against real dispatchers and tells what came of it."""
+"""`locktide simulate`: runs scenarios against real dispatchers and reports the results."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from rich.console import Console
 from rich.table import Table
 
-from locktide.cli.faulty import refuse
+from locktide.cli.faulty import exit_with_errors
 from locktide.config.errors import ConfigError, ConfigFileError
 from locktide.simulation import compare, plots
-from locktide.simulation import tables as table
-from locktide.simulation.model import random_scenario as rough
-from locktide.simulation.model import scenario as script
+from locktide.simulation import tables as result_tables
+from locktide.simulation.model import random_scenario as random_scenarios
+from locktide.simulation.model import scenario as scenarios
 from locktide.simulation.model.scenario import Scenario
 from locktide.simulation.run import (
     ProgressCallback,
@@ -39,73 +39,82 @@
 from locktide.simulation.scenario_runner import NotReadyError
 
 ROOT = Path(__file__).resolve().parents[2]
-MOST_SEEDS = 100_000
-LOOK_EVERY = 0.5  # seconds between two looks whether the parent still lives
+MAX_SEEDS = 100_000
+PARENT_CHECK_INTERVAL = 0.5  # seconds between two checks whether the parent process is alive
 BROKEN, LATE, INTERRUPTED = 1, 3, 130  # exit codes
-RUNS_A_LINE = 10  # of a series: one line says how far it has come
+RUNS_PER_PROGRESS_LINE = 10
 
 
 @dataclass(frozen=True)
-class Side:
-    """What is played: a script, by the dispatchers of a checkout."""
+class Variant:
+    """What is run: a scenario, by the dispatchers of a checkout; two variants can be compared."""
 
     name: str
-    script: Scenario | None  # none: a rough day of its own for each seed
+    scenario: Scenario | None  # None: a random scenario for each seed
     program: Path
-    durable: bool = False  # rough days with durable jobs
+    durable: bool = False  # random scenarios with durable jobs
 
-    def of(self, seed: int) -> Scenario:
-        return rough.draw(seed, self.durable) if self.script is None else with_seed(self.script, seed)
+    def scenario_for(self, seed: int) -> Scenario:
+        return (
+            random_scenarios.draw(seed, self.durable)
+            if self.scenario is None
+            else with_seed(self.scenario, seed)
+        )
 
 
 def seeds_of(text: str) -> list[int]:
-    """`3`, `1-10` or `1,5,8-12`; raises click.BadParameter."""
-    found: list[int] = []
+    """Parse seeds such as `3`, `1-10` or `1,5,8-12`; raise click.BadParameter for any other text."""
+    seeds: list[int] = []
     for part in text.split(","):
         first, dash, last = part.strip().partition("-")
         if not first.isdigit() or dash and not last.isdigit():
             raise click.BadParameter(f"expected seeds as 3, 1-10 or 1,5,8-12, found {text!r}")
-        found += range(int(first), int(last or first) + 1)
-    if not found or len(found) > MOST_SEEDS:
-        raise click.BadParameter(f"expected 1 to {MOST_SEEDS} seeds, found {len(found)}")
-    return list(dict.fromkeys(found))
+        seeds += range(int(first), int(last or first) + 1)
+    if not seeds or len(seeds) > MAX_SEEDS:
+        raise click.BadParameter(f"expected 1 to {MAX_SEEDS} seeds, found {len(seeds)}")
+    return list(dict.fromkeys(seeds))
 
 
-def play(side: Side, seed: int, host: str, glance: ProgressCallback | None = None) -> RunResult:
-    chosen = side.of(seed)
+def run_scenario(
+    variant: Variant, seed: int, host: str, on_progress: ProgressCallback | None = None
+) -> RunResult:
+    scenario = variant.scenario_for(seed)
     if host == "virtual":
-        return in_virtual_time(chosen, glance)
+        return in_virtual_time(scenario, on_progress)
     with tempfile.TemporaryDirectory(prefix="locktide-") as folder:
-        return asyncio.run(on_loopback(chosen, side.program, Path(folder), glance))
+        return asyncio.run(on_loopback(scenario, variant.program, Path(folder), on_progress))
+
 
+interrupted_seeds: list[int] = []  # of the runs in this process
 
-interrupted: list[int] = []  # seeds, in this process
 
+def run_without_progress(job: tuple[Variant, int, str]) -> tuple[int, dict[str, Any]]:
+    """Run one seed, usually in a process of the pool; return the seed and its outcome.
 
-def play_quietly(job: tuple[Side, int, str]) -> tuple[int, dict[str, Any]]:
-    """In a process of its own. Interrupted once, it plays nothing more: others may be queued for it."""
-    if interrupted:
+    After an interrupt the process starts no further run, as more may be queued for it.
+    """
+    if interrupted_seeds:
         raise RunFailedError("interrupted")
-    side, seed, host = job
-    told = play(side, seed, host).told
-    if not told["complete"]:
-        interrupted.append(seed)
-    return seed, told
+    variant, seed, host = job
+    outcome = run_scenario(variant, seed, host).told
+    if not outcome["complete"]:
+        interrupted_seeds.append(seed)
+    return seed, outcome
 
 
-def play_all(side: Side, seeds: list[int], host: str, jobs: int) -> Iterator[tuple[int, dict[str, Any]]]:
+def run_all(variant: Variant, seeds: list[int], host: str, jobs: int) -> Iterator[tuple[int, dict[str, Any]]]:
     if jobs == 1 or len(seeds) == 1:
         for seed in seeds:
-            yield play_quietly((side, seed, host))
+            yield run_without_progress((variant, seed, host))
         return
-    # Spawned, so that a run is the same whatever was played before it.
+    # Spawned processes, so that a run does not depend on the runs before it.
     context = multiprocessing.get_context("spawn")
     parent = os.getpid()
     with ProcessPoolExecutor(
-        min(jobs, len(seeds)), mp_context=context, initializer=follow_parent, initargs=(parent,)
+        min(jobs, len(seeds)), mp_context=context, initializer=watch_parent, initargs=(parent,)
     ) as pool:
         try:
-            yield from pool.map(play_quietly, [(side, seed, host) for seed in seeds])
+            yield from pool.map(run_without_progress, [(variant, seed, host) for seed in seeds])
         except BaseException:
             for child in multiprocessing.active_children():
                 if child.pid is not None:
@@ -114,21 +123,21 @@
             raise
 
 
-def follow_parent(parent: int) -> None:
-    """In a process of the pool: ends as by Ctrl-C once the parent is gone, also where that was killed.
+def watch_parent(parent: int) -> None:
+    """Interrupt this process of the pool, as by Ctrl-C, once its parent has ended.
 
-    Guards against rehearsals that go on unseen, with their dispatchers.
+    Otherwise runs and their dispatchers would continue unnoticed after the parent was killed.
     """
 
-    def look() -> None:
+    def poll_parent() -> None:
         while os.getppid() == parent:
-            time.sleep(LOOK_EVERY)
+            time.sleep(PARENT_CHECK_INTERVAL)
         os.kill(os.getpid(), signal.SIGINT)
 
-    threading.Thread(target=look, daemon=True).start()
+    threading.Thread(target=poll_parent, daemon=True).start()
 
 
-def interrupt(number: int, frame: object) -> None:
+def raise_keyboard_interrupt(signal_number: int, frame: object) -> None:
     raise KeyboardInterrupt
 
 
@@ -139,22 +148,26 @@
     type=click.Choice(["loopback", "virtual"]),
     default="loopback",
     show_default=True,
-    help="Real processes in real time, or the same code in virtual time.",
+    help="loopback: real processes in real time; virtual: the same code in virtual time.",
 )
-@click.option("--seeds", default="", help="As 3, 1-10 or 1,5,8-12; by default the script's own.")
+@click.option("--seeds", default="", help="Seeds as 3, 1-10 or 1,5,8-12; by default that of the scenario.")
 @click.option(
     "--times",
     type=click.IntRange(1, 1000),
     default=1,
     show_default=True,
-    help="Play each seed so often; in virtual time all must come out alike.",
+    help="Runs of each seed; in virtual time all must have the same outcome.",
+)
+@click.option(
+    "--random", "drawn", is_flag=True, help="Run a random scenario for each seed instead of a file."
+)
+@click.option(
+    "--durable", is_flag=True, help="With --random: durable jobs, and dispatchers that crash often."
 )
-@click.option("--random", "drawn", is_flag=True, help="A rough day drawn for each seed; no script.")
-@click.option("--durable", is_flag=True, help="With --random: durable jobs, and dispatchers that die often.")
 @click.option(
     "--against",
     type=click.Path(path_type=Path, exists=True),
-    help="Play this too on the same seeds: another script, or another checkout (a folder).",
+    help="Compare with another scenario file, or another checkout (a folder), on the same seeds.",
 )
 @click.option(
     "--program",
@@ -167,7 +180,7 @@
     type=click.IntRange(1, 256),
     default=1,
     show_default=True,
-    help="So many seeds at once, each in a process of its own.",
+    help="Number of runs at once, each in a process of its own.",
 )
 @click.option(
     "--out",
@@ -176,8 +189,8 @@
     show_default=True,
     help="The folder for reports.",
 )
-@click.option("--json", "as_json", is_flag=True, help="Print outcomes as JSON lines, write no report.")
-@click.option("--logs", is_flag=True, help="With one seed: print what the dispatchers logged.")
+@click.option("--json", "as_json", is_flag=True, help="Print outcomes as JSON lines; write no report.")
+@click.option("--logs", is_flag=True, help="With one seed: print the logs of the dispatchers.")
 def simulate(
     file: Path | None,
     host: str,
@@ -192,88 +205,93 @@
     as_json: bool,
     logs: bool,
 ) -> None:
-    """Play the rehearsal in FILE (without one: a quarter of the workers dead and back cold in a slowdown).
+    """Run the scenario in FILE (without one: a quarter of the workers crash and start cold in a slowdown).
 
-    With one seed: a table, and a report with plots below --out. With several: the spread, and each outcome's
-    JSON below --out. Exit code 1 where a rule was broken, 3 where the machine was too busy for it to count.
+    With one seed: prints a table and writes a report with plots below --out. With several: prints the spread
+    and writes the JSON of each outcome below --out. Exit code 1 if a rule was broken, 3 if the machine was
+    too busy for the run to count.
     """
     console = Console(stderr=as_json)
-    signal.signal(signal.SIGTERM, interrupt)
+    signal.signal(signal.SIGTERM, raise_keyboard_interrupt)
     try:
-        chosen = None if drawn else script.load(file) if file else script.embedded()
-        first = Side(file.stem if file else "rough" if drawn else "overlap", chosen, program, durable)
-        second = other_side(first, against)
-    except ConfigFileError as faults:
-        refuse(faults, str(file or ""))
+        scenario = None if drawn else scenarios.load(file) if file else scenarios.embedded()
+        first = Variant(file.stem if file else "rough" if drawn else "overlap", scenario, program, durable)
+        second = second_variant(first, against)
+    except ConfigFileError as errors:
+        exit_with_errors(errors, str(file or ""))
     if drawn and file:
         raise click.UsageError("--random takes no FILE")
     if durable and not drawn:
-        raise click.UsageError("--durable goes with --random; a script has a table for it")
+        raise click.UsageError("--durable requires --random; a scenario file has a table for it")
     if second is not None and second.program != first.program and host == "virtual":
         raise click.UsageError("two checkouts can be compared with --host loopback only")
-    numbers = seeds_of(seeds) if seeds else [chosen.seed if chosen else 1]
+    seed_numbers = seeds_of(seeds) if seeds else [scenario.seed if scenario else 1]
     try:
-        if len(numbers) == times == 1 and second is None:
-            sys.exit(one(first, numbers[0], host, out, as_json, logs, console))
-        sys.exit(several(first, second, numbers * times, host, jobs, out, as_json, console))
-    except (NotReadyError, RunFailedError) as trouble:
-        print(f"locktide: {trouble}", file=sys.stderr)
+        if len(seed_numbers) == times == 1 and second is None:
+            sys.exit(run_single(first, seed_numbers[0], host, out, as_json, logs, console))
+        sys.exit(run_series(first, second, seed_numbers * times, host, jobs, out, as_json, console))
+    except (NotReadyError, RunFailedError) as error:
+        print(f"locktide: {error}", file=sys.stderr)
         sys.exit(BROKEN)
     except KeyboardInterrupt:
         print("locktide: interrupted", file=sys.stderr)
         sys.exit(INTERRUPTED)
 
 
-def other_side(first: Side, against: Path | None) -> Side | None:
-    """Raises Faults for a script that is faulty."""
+def second_variant(first: Variant, against: Path | None) -> Variant | None:
+    """Return the variant to compare with; raise ConfigFileError for a faulty scenario."""
     if against is None:
         return None
     if against.is_dir():
         if not (against / "locktide" / "__main__.py").exists():
-            expected, found = "a script or a checkout of locktide", repr(str(against))
+            expected, found = "a scenario file or a checkout of locktide", repr(str(against))
             raise ConfigFileError([ConfigError.mismatch("--against", expected=expected, found=found)])
-        return Side(against.resolve().name, first.script, against.resolve())
-    return Side(against.stem, script.load(against), first.program)
+        return Variant(against.resolve().name, first.scenario, against.resolve())
+    return Variant(against.stem, scenarios.load(against), first.program)
 
 
-def code(told: dict[str, Any]) -> int:
-    if not told["complete"]:
+def code(outcome: dict[str, Any]) -> int:
+    """Return the exit code for an outcome."""
+    if not outcome["complete"]:
         return INTERRUPTED
-    if sum(told["rules"].values()) or told["crashed"]:
+    if sum(outcome["rules"].values()) or outcome["crashed"]:
         return BROKEN
-    return 0 if told.get("counts", True) else LATE
+    return 0 if outcome.get("counts", True) else LATE
 
 
-def one(side: Side, seed: int, host: str, out: Path, as_json: bool, logs: bool, console: Console) -> int:
-    chosen = side.of(seed)
-    progress, glance = table.watched(console, chosen.length, chosen.name)
+def run_single(
+    variant: Variant, seed: int, host: str, out: Path, as_json: bool, logs: bool, console: Console
+) -> int:
+    """Run one seed and report its outcome; return the exit code."""
+    scenario = variant.scenario_for(seed)
+    progress, on_progress = result_tables.watched(console, scenario.length, scenario.name)
     if console.is_terminal:
         progress.start()
     try:
-        played = play(side, seed, host, glance)
+        result = run_scenario(variant, seed, host, on_progress)
     finally:
         progress.stop()
     if as_json:
-        click.echo(json.dumps(played.told))
+        click.echo(json.dumps(result.told))
     else:
-        table.show(played.told, console)
-        path = plots.write(played.told, out / f"{chosen.name}-{seed}-{host}")
+        result_tables.show(result.told, console)
+        path = plots.write(result.told, out / f"{scenario.name}-{seed}-{host}")
         console.print(f"report: {path}", soft_wrap=True, highlight=False)
     if logs:
-        for line in played.said:
+        for line in result.said:
             click.echo(line, err=as_json)
-    return code(played.told)
+    return code(result.told)
 
 
-def show_progress(side: Side, played: int, count: int, as_json: bool, console: Console) -> None:
-    """Print a line each `RUNS_A_LINE` runs, so that a long series is not silent where nothing is drawn."""
-    if played % RUNS_A_LINE == 0 and not as_json:
-        console.print(f"{side.name}: {played} of {count} runs", markup=False, highlight=False)
+def show_progress(variant: Variant, run_count: int, total: int, as_json: bool, console: Console) -> None:
+    """Print a line every `RUNS_PER_PROGRESS_LINE` runs; without it a long series seems to hang, as in CI."""
+    if run_count % RUNS_PER_PROGRESS_LINE == 0 and not as_json:
+        console.print(f"{variant.name}: {run_count} of {total} runs", markup=False, highlight=False)
 
 
-def several(
-    first: Side,
-    second: Side | None,
+def run_series(
+    first: Variant,
+    second: Variant | None,
     seeds: list[int],
     host: str,
     jobs: int,
@@ -281,62 +299,70 @@
     as_json: bool,
     console: Console,
 ) -> int:
-    worst, service = 0, []
-    for side in [first] + ([second] if second else []):
-        values: dict[int, list[float]] = {}
-        bytes_of: dict[int, set[str]] = {}
-        last_of: dict[int, dict[str, Any]] = {}
-        for played_count, (seed, told) in enumerate(play_all(side, seeds, host, jobs), start=1):
-            show_progress(side, played_count, len(seeds), as_json, console)
-            worst = max(worst, code(told))
+    """Run all seeds of one or two variants and report their spread; return the worst exit code."""
+    exit_code, service_by_variant = 0, []
+    for variant in [first] + ([second] if second else []):
+        service_by_seed: dict[int, list[float]] = {}
+        encoded_by_seed: dict[int, set[str]] = {}
+        last_by_seed: dict[int, dict[str, Any]] = {}
+        for run_count, (seed, outcome) in enumerate(run_all(variant, seeds, host, jobs), start=1):
+            show_progress(variant, run_count, len(seeds), as_json, console)
+            exit_code = max(exit_code, code(outcome))
             if as_json:
-                click.echo(json.dumps({"side": side.name, **told}))
+                click.echo(json.dumps({"side": variant.name, **outcome}))
             else:
-                folder = out / f"{side.name}-{host}"
+                folder = out / f"{variant.name}-{host}"
                 folder.mkdir(parents=True, exist_ok=True)
-                again = len(values.get(seed, ()))
-                path = folder / (f"{seed}.{again}.json" if again else f"{seed}.json")
-                path.write_text(json.dumps(told, indent=1) + "\n", encoding="utf-8")
-            broken = {rule: count for rule, count in told["rules"].items() if count}
-            if broken or not told.get("counts", True):
-                words = f"{side.name}, seed {seed}: {broken or 'late'}"
-                console.print(words, style="red", markup=False, highlight=False)
-                for breach in told["broken"][:3]:
-                    console.print(f"  {breach['at_s']} s {breach['rule']}: {breach['what']}", markup=False)
-            # A run that came late does not count.
-            if told["service"] is not None and told.get("counts", True):
-                values.setdefault(seed, []).append(told["service"])
-            last_of[seed] = told
-            bytes_of.setdefault(seed, set()).add(json.dumps(told))
-        service.append((side, values))
-        kept = [told_of["durable"] for told_of in last_of.values() if told_of["durable"]]
-        if kept:
-            sums = {name: sum(one[name] for one in kept) for name in kept[0]}
-            console.print("durable jobs: " + ", ".join(f"{count} {name}" for name, count in sums.items()))
-        unlike = [seed for seed, made in bytes_of.items() if len(made) > 1]
-        if host == "virtual" and unlike:
-            console.print(f"{side.name}: seeds {unlike} came out unlike in two runs", style="bold red")
-            worst = max(worst, BROKEN)
-    shown = Table(title=f"service, {host} (an emulated fleet)", title_justify="left")
+                repetition = len(service_by_seed.get(seed, ()))
+                path = folder / (f"{seed}.{repetition}.json" if repetition else f"{seed}.json")
+                path.write_text(json.dumps(outcome, indent=1) + "\n", encoding="utf-8")
+            broken = {rule: count for rule, count in outcome["rules"].items() if count}
+            if broken or not outcome.get("counts", True):
+                message = f"{variant.name}, seed {seed}: {broken or 'late'}"
+                console.print(message, style="red", markup=False, highlight=False)
+                for violation in outcome["broken"][:3]:
+                    console.print(
+                        f"  {violation['at_s']} s {violation['rule']}: {violation['what']}", markup=False
+                    )
+            # A late run does not count.
+            if outcome["service"] is not None and outcome.get("counts", True):
+                service_by_seed.setdefault(seed, []).append(outcome["service"])
+            last_by_seed[seed] = outcome
+            encoded_by_seed.setdefault(seed, set()).add(json.dumps(outcome))
+        service_by_variant.append((variant, service_by_seed))
+        durable_counts = [last["durable"] for last in last_by_seed.values() if last["durable"]]
+        if durable_counts:
+            totals = {name: sum(counts[name] for counts in durable_counts) for name in durable_counts[0]}
+            console.print("durable jobs: " + ", ".join(f"{count} {name}" for name, count in totals.items()))
+        differing = [seed for seed, encoded in encoded_by_seed.items() if len(encoded) > 1]
+        if host == "virtual" and differing:
+            console.print(
+                f"{variant.name}: seeds {differing} had different outcomes in two runs", style="bold red"
+            )
+            exit_code = max(exit_code, BROKEN)
+    table = Table(title=f"service, {host} (an emulated fleet)", title_justify="left")
     for name in ("", "runs", "mean", "least", "most", "deviation"):
-        shown.add_column(name, justify="right" if name else "left")
-    for side, values in service:
-        if values:
-            found = compare.spread([value for runs in values.values() for value in runs])
-            figures = (found.mean, found.least, found.most, found.deviation)
-            shown.add_row(side.name, str(found.count), *(f"{value:.4f}" for value in figures))
-    console.print(shown)
+        table.add_column(name, justify="right" if name else "left")
+    for variant, service_by_seed in service_by_variant:
+        if service_by_seed:
+            summary = compare.spread([value for runs in service_by_seed.values() for value in runs])
+            figures = (summary.mean, summary.least, summary.most, summary.deviation)
+            table.add_row(variant.name, str(summary.count), *(f"{value:.4f}" for value in figures))
+    console.print(table)
     if second is not None:
         try:
-            means = [{seed: sum(r) / len(r) for seed, r in values.items()} for _, values in service]
-            found_difference = compare.paired(*means)
-        except ValueError as trouble:
-            console.print(str(trouble))
-            return worst
-        low, high = found_difference.low, found_difference.high
-        apart = "told apart" if found_difference.told_apart else "not told apart"
+            means = [
+                {seed: sum(services) / len(services) for seed, services in service_by_seed.items()}
+                for _, service_by_seed in service_by_variant
+            ]
+            difference = compare.paired(*means)
+        except ValueError as error:
+            console.print(str(error))
+            return exit_code
+        low, high = difference.low, difference.high
+        verdict = "significant" if difference.told_apart else "not significant"
         console.print(
-            f"{second.name} less {first.name}: {found_difference.mean:+.4f}, "
-            f"95% interval {low:+.4f} to {high:+.4f} ({found_difference.count} pairs): {apart}"
+            f"{second.name} less {first.name}: {difference.mean:+.4f}, "
+            f"95% interval {low:+.4f} to {high:+.4f} ({difference.count} pairs): {verdict}"
         )
-    return worst
+    return exit_code
--- a/locktide/config/__init__.py
+++ b/locktide/config/__init__.py
@@ -1,1 +1,1 @@
-"""What is read at start: the one place where it is read, checked and given defaults."""
+"""The configuration: the only place where it is read, checked and given defaults."""
--- a/locktide/config/address.py
+++ b/locktide/config/address.py
@@ -23,7 +23,7 @@
     """Return the host and the port of HOST:PORT; an IPv6 host may be in brackets.
 
     Raises:
-        ConfigError: the text is no HOST:PORT; the error names `key`.
+        ConfigError: the text is not HOST:PORT; the error names `key`.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not is_port(port):
--- a/locktide/config/errors.py
+++ b/locktide/config/errors.py
@@ -11,12 +11,12 @@
 
 
 class ConfigError(LocktideError):
-    """A setting that is missing or has a value that it may not have.
+    """A setting is missing or has an invalid value.
 
     Attributes:
-        key: where the setting is, as `settings.ServiceGrades[0].TimeLimit`; the message begins with it.
-        expected: what the setting may be; empty where the message says all.
-        value: the value that was found; None where there is none.
+        key: path of the setting, such as `settings.ServiceGrades[0].TimeLimit`; begins the message.
+        expected: what the setting may be; empty where the message is complete without it.
+        value: the value that was found; None where there is no value.
     """
 
     def __init__(self, key: str, problem: str, *, expected: str = "", value: object = None) -> None:
--- a/locktide/config/installation/document.py
+++ b/locktide/config/installation/document.py
@@ -1,6 +1,6 @@
 """The whole file of an installation as one typed document.
 
-Every key has a default but the service classes, and the names and addresses of what is listed.
+Every key has a default, except for the service classes and for names and addresses in lists.
 """
 
 from __future__ import annotations
--- a/locktide/config/installation/spellings.py
+++ b/locktide/config/installation/spellings.py
@@ -6,7 +6,7 @@
 
 #: HOST:PORT; the range of the port is checked by `validation`, which can name the key.
 ADDRESS_PATTERN = r"^[^\s]+:[0-9]{1,5}$"
-#: A text that is not empty, and any text.
+#: A string that is not empty, and any string.
 NOT_EMPTY_PATTERN = "."
 ANY_PATTERN = ""
 
--- a/locktide/config/installation/start.py
+++ b/locktide/config/installation/start.py
@@ -1,7 +1,7 @@
-"""Turns an installation into what a dispatcher starts with.
+"""Turns an installation into the start configuration of a dispatcher.
 
-An installation is rendered as the platform's start document and read like it, so that both kinds of
-files have one reader and the same checks.
+An installation is rendered as a start document of the platform and read like one, so that both kinds of
+files have the same reader and the same checks.
 """
 
 from __future__ import annotations
@@ -38,22 +38,22 @@
 MILLISECONDS_PER_SECOND = 1000
 
 
-def _translated(file_values: dict[str, Value], platform_values: dict[str, Value]) -> dict[str, str]:
-    """Return the platform's spelling for each spelling of the file."""
+def _translate(file_values: dict[str, Value], platform_values: dict[str, Value]) -> dict[str, str]:
+    """Map each spelling of the file to the platform's spelling of the same value."""
     platform_spellings = {value: spelling for spelling, value in platform_values.items()}
     return {spelling: platform_spellings[value] for spelling, value in file_values.items()}
 
 
-#: The platform's spelling of `effect`, and of `group`.
-PLATFORM_EFFECTS = _translated(spellings.EFFECTS, platform_keys.EFFECTS)
-PLATFORM_SCOPES = _translated(spellings.DEDUPLICATION_SCOPES, platform_keys.DEDUPLICATION_SCOPES)
+#: The platform's spelling of each `effect`, and of each `group`.
+PLATFORM_EFFECTS = _translate(spellings.EFFECTS, platform_keys.EFFECTS)
+PLATFORM_SCOPES = _translate(spellings.DEDUPLICATION_SCOPES, platform_keys.DEDUPLICATION_SCOPES)
 
 
 def start_from_installation(installation: Installation, random_seed: int) -> Start:
-    """Return what a dispatcher starts with; `random_seed` counts where the file gives no seed.
+    """Return the start configuration; `random_seed` is used where the file gives no seed.
 
     Raises:
-        ConfigFileError: a value that the types of the file allow is rejected by the reader of the settings.
+        ConfigFileError: the reader of the settings rejects a value that the types of the file allow.
     """
     try:
         return start_from_document(JsonObject(_start_document(installation, random_seed)), environment={})
@@ -126,8 +126,8 @@
 
 def _service_class_document(service_class: ServiceClassSection) -> dict[str, Any]:
     # Only requests with an idempotency key are deduplicated: others have no cell that drops their repeats.
-    deduplicated = spellings.EFFECTS[service_class.effect] is Effect.IDEMPOTENT_WITH_KEY
-    scope = service_class.deduplication_scope if deduplicated else "everyone"
+    is_deduplicated = spellings.EFFECTS[service_class.effect] is Effect.IDEMPOTENT_WITH_KEY
+    scope = service_class.deduplication_scope if is_deduplicated else "everyone"
     document = {
         ServiceClassKey.NAME: service_class.name,
         ServiceClassKey.EFFECT: PLATFORM_EFFECTS[service_class.effect],
--- a/locktide/config/installation/validation.py
+++ b/locktide/config/installation/validation.py
@@ -10,13 +10,13 @@
 from locktide.config.installation.document import Installation
 from locktide.config.installation.service_classes import ServiceClassSection
 
-#: Most tenants of a cluster: one datagram carries the shares, the demand and the loans of all of them.
+#: Most tenants of a cluster, as one datagram carries the shares, the demand and the loans of all of them.
 MAX_CLUSTER_TENANTS = 50
-#: Most of a resource that one slot may need; as a datagram of the fairness ledger carries amounts.
+#: Most of a resource that one slot may need: the largest amount in a datagram of the fairness ledger.
 MAX_RESOURCE_NEED = 1e9
-#: A lease must outlive this many report intervals, or a single late report would end it.
+#: Least duration of a lease, in report intervals; with a shorter one a single late report would end it.
 MIN_REPORTS_PER_LEASE = 2
-#: The path under which clients query durable jobs, and which no service class may take then.
+#: The path under which clients query durable jobs; no service class may have this name while these are on.
 JOBS_PATH = "jobs"
 
 
@@ -33,12 +33,12 @@
 
 
 def _repeated_name(key: str, name: str, noun: str = "name") -> ConfigError:
-    """Return the fault of an entry whose name an earlier entry has, too."""
+    """Return the error of an entry whose name an earlier entry already has."""
     return ConfigError.mismatch(key, expected=f"a {noun} of its own", found=f"{name!r} again", value=name)
 
 
 def _repeated_names(names: list[str], section: str, noun: str = "name") -> Iterator[ConfigError]:
-    """Yield a fault for each entry of a list of sections whose name an earlier entry has, too."""
+    """Yield an error for each entry of a list of sections whose name an earlier entry already has."""
     for index, name in enumerate(names):
         if name in names[:index]:
             yield _repeated_name(f"{section}[{index}].{noun}", name, noun)
@@ -142,14 +142,16 @@
     for index, tenant in enumerate(installation.tenants):
         if not cluster.reserved_fraction or not tenant.rate:
             continue
-        # A minimum whose burst has no room for one request would never admit any.
+        # A guaranteed minimum whose burst is below one request would never admit any.
         requests_per_burst = cluster.burst * cluster.reserved_fraction
         guaranteed_burst = tenant.rate * cluster.burst * cluster.reserved_fraction / cluster.max_members
         if guaranteed_burst < 1.0:
             min_rate = cluster.max_members / requests_per_burst
             yield ConfigError.mismatch(
                 f"tenant[{index}].rate",
-                expected=(f"at least {min_rate:g}, so that each of accord.most floors holds a submission"),
+                expected=(
+                    f"at least {min_rate:g}, so that each of accord.most guaranteed minimums admits a request"
+                ),
                 found=f"{tenant.rate:g}",
                 value=tenant.rate,
             )
--- a/locktide/config/json_reader.py
+++ b/locktide/config/json_reader.py
@@ -12,7 +12,7 @@
 
 MICROSECONDS_PER_MILLISECOND = 1000
 
-#: The default of a key that has to be given; None may be a value.
+#: The default that marks a key as required; None is not used for it, as it may be a real default.
 REQUIRED: Final = object()
 
 
@@ -46,7 +46,7 @@
 
     Attributes:
         raw: the decoded object.
-        path: where it is in its document, as `settings.Rules`; empty for the whole document.
+        path: its path in its document, such as `settings.Rules`; empty for the whole document.
     """
 
     def __init__(self, raw: Any, path: str = "") -> None:
@@ -79,7 +79,7 @@
         return read_number(self.key(name), self.get(name, default), minimum)
 
     def integer(self, name: str, default: Any = REQUIRED, minimum: int = 0) -> int:
-        """Return a whole number that is at least `minimum`; 2.0 is one."""
+        """Return a whole number that is at least `minimum`; 2.0 counts as whole."""
         value = self.number(name, default, minimum)
         if value != int(value):
             raise ConfigError.unexpected(
@@ -99,7 +99,7 @@
         return value
 
     def choice(self, spellings: Mapping[str, Choice], name: str, default: Any = REQUIRED) -> Choice:
-        """Return the value that one of the allowed strings means."""
+        """Return the value to which `spellings` maps the string; any other string is an error."""
         value = self.get(name, default)
         if not isinstance(value, str) or value not in spellings:
             expected = f"one of {', '.join(spellings)}"
--- a/locktide/config/platform_keys.py
+++ b/locktide/config/platform_keys.py
@@ -1,7 +1,7 @@
 """The platform's spellings: each key and each value of its JSON documents, written once.
 
 The start file (`StartKey` and below) and the settings inside it (`SettingsKey` and below) use them; the same
-settings arrive on the wire of the simulator. Members are named by the terms of the glossary.
+settings arrive on the wire of the simulator. Members are named by the terms of this project.
 """
 
 from __future__ import annotations
@@ -132,7 +132,7 @@
 
 
 class CostsKey:
-    """`Prices`, as fractions of what a usual request earns."""
+    """`Prices`, as fractions of the value of an ordinary request."""
 
     CONNECTION = "Handshake"
     CROSS_ZONE = "CrossZone"
--- a/locktide/config/settings.py
+++ b/locktide/config/settings.py
@@ -34,11 +34,11 @@
     SlowStartConfig,
 )
 
-#: Time between two rounds of the pool where the settings give none, in milliseconds.
+#: Default time between two rounds of the pool, in milliseconds.
 DEFAULT_ROUND_INTERVAL = 1.0
-#: Time within which a dispatcher should poll the endpoint list where the settings give none, in milliseconds.
+#: Default time within which a dispatcher should poll the endpoint list, in milliseconds.
 DEFAULT_POLL_WITHIN = 10_000
-#: Item of `ClassKind` for a service class that any worker type runs.
+#: Item of `ClassKind` for a service class that runs on any worker type.
 ANY_WORKER_TYPE = -1
 
 
@@ -46,7 +46,7 @@
     """Return the configuration of the scheduler.
 
     Raises:
-        ConfigError: a key is missing or has a value that it may not have.
+        ConfigError: a key is missing or has an invalid value.
     """
     workload = settings.object(SettingsKey.WORKLOAD, {})
     ceilings = settings.object(SettingsKey.CEILINGS, {})
--- a/locktide/config/start.py
+++ b/locktide/config/start.py
@@ -1,4 +1,4 @@
-"""Reads what one dispatcher starts with: the GW_* variables and the JSON file that GW_CONFIG names."""
+"""Reads the start configuration of a dispatcher: GW_* variables and the JSON file that GW_CONFIG names."""
 
 from __future__ import annotations
 
@@ -22,32 +22,33 @@
 from locktide.config.settings import scheduler_config
 from locktide.scheduler.config import SchedulerConfig
 
-#: Open file descriptors where the start file gives no limit, and the fewest that a dispatcher can run with.
+#: Default limit of open file descriptors, and the lowest limit that a dispatcher can run with.
 DEFAULT_DESCRIPTORS = 1024
 MIN_DESCRIPTORS = 32
-#: The same for its memory, in MiB.
+#: Default limit of the memory, and the lowest limit that a dispatcher can run with, in MiB.
 DEFAULT_MEMORY_MEGABYTES = 2048
 MIN_MEMORY_MEGABYTES = 24
 BYTES_PER_MEGABYTE = 1 << 20
-#: Time to connect to a worker, and idle time after which workers close a connection, in milliseconds.
+#: Default timeout for connecting to a worker, and default idle time after which workers close a connection,
+#: in milliseconds.
 DEFAULT_CONNECT_TIMEOUT = 250.0
 DEFAULT_IDLE_TIMEOUT = 15_000.0
-#: Base of the digits of `seed`.
+#: The key `seed` is a hexadecimal number.
 SEED_BASE = 16
 
 
 @dataclass(slots=True)
 class Start:
-    """What one dispatcher starts with.
+    """The start configuration of one dispatcher.
 
     Attributes:
         name: the name of the dispatcher, the same after a restart.
-        listen: where clients and workers connect.
-        discovery: where the discovery service listens.
+        listen: the address to which clients and workers connect.
+        discovery: the address of the discovery service.
         seed: the seed of all random draws.
         descriptors: how many file descriptors the process may have open.
         memory: how much memory the process may take, in bytes.
-        cached_endpoints: the endpoint list of before the start, decoded, in the form of discovery.
+        cached_endpoints: the endpoint list from before the start, as decoded JSON in the form of discovery.
         connect_within: how long connecting to a worker may take, in microseconds.
         idle_close: after what idle time workers close a connection, in microseconds.
         scheduler_config: the configuration of the scheduler.
@@ -68,10 +69,11 @@
 def read_start(environment: Mapping[str, str], *, is_reload: bool = False) -> Start:
     """Read the start file that the environment names.
 
-    A variable that is set takes precedence over the file. At a reload the address of discovery is the file's.
+    A variable that is set takes precedence over the file, except that a reload takes the address of discovery
+    from the file.
 
     Raises:
-        ConfigError: the file cannot be read, or a key is missing or has a value that it may not have.
+        ConfigError: the file cannot be read, or a key is missing or has an invalid value.
     """
     path = environment.get(Variable.CONFIG_FILE)
     if not path:
@@ -86,7 +88,7 @@
 def start_from_document(
     document: JsonObject, environment: Mapping[str, str], *, is_reload: bool = False
 ) -> Start:
-    """Return the start by a start file that is decoded already; otherwise as `read_start`."""
+    """Return the start configuration of a decoded start file; otherwise as `read_start`."""
     limits = document.object(StartKey.LIMITS, {})
     settings = document.object(StartKey.SETTINGS)
     ceilings = settings.object(SettingsKey.CEILINGS, {})
@@ -107,7 +109,7 @@
 
 
 def endpoint_list(endpoints: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return the snapshot of an endpoint list with these entries, in the form of a start file."""
+    """Return an endpoint list with these entries as a snapshot, in the form of a start file."""
     return {
         EndpointListKey.VERSION: 0,
         EndpointListKey.IS_SNAPSHOT: True,
@@ -116,7 +118,7 @@
 
 
 def _read_address(document: JsonObject, key: str, environment: Mapping[str, str], variable: str) -> Address:
-    """Return an address of the start file, or that of the variable where it is set."""
+    """Return the address in the variable where it is set, else that in the start file."""
     text = environment.get(variable)
     if text:
         return parse_address(variable, text)
--- a/locktide/config/toml_reader.py
+++ b/locktide/config/toml_reader.py
@@ -1,7 +1,8 @@
-"""Reads TOML files into typed sections, and names all faults of a file at once.
+"""Reads TOML files into typed sections, and reports all faults of a file at once.
 
-A section is a msgspec struct whose fields carry their bounds and their meaning. The platform's path may load
-nothing but the standard library and h11: it does not import this module, and reads JSON by `json_reader`.
+A section is a msgspec struct whose fields are annotated with bounds and a description. `python -m locktide`,
+which the platform starts, may load only the standard library and h11: it does not import this module, and
+reads JSON with `json_reader`.
 """
 
 from __future__ import annotations
@@ -24,23 +25,23 @@
 
 #: Characters of a faulty value that an error message shows, so that one fault stays on one line.
 MAX_SHOWN_VALUE = 60
-#: The end of a message of msgspec, which says what it found; ours says it in its own words.
+#: The end of an msgspec message, which says what was found; ConfigError says it in a uniform form instead.
 FOUND_SUFFIX = re.compile(r",? ?(but )?got `?(.*?)`?( - at .*)?$")
 #: Shown as the default of a key that has none.
 NO_DEFAULT = "(must be given)"
 
 
 class Section(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A table of a file; a key that it does not know is a fault."""
+    """A table of a file; an unknown key is a fault."""
 
 
 def key(description: str, **bounds: Any) -> Any:
-    """Return what a key means and which values it may have, to annotate a field with."""
+    """Return the annotation of a field: the meaning of its key, and the bounds of its value."""
     return Meta(description=description, **bounds)
 
 
 def seconds(description: str, **bounds: Any) -> Any:
-    """Return the same for a time in seconds, which is at least 0 where the bounds do not say otherwise."""
+    """Return the annotation of a time in seconds; without bounds it is at least 0."""
     return key(f"seconds: {description}", **(bounds or {"ge": 0}))
 
 
@@ -48,7 +49,7 @@
     """Read a TOML file.
 
     Raises:
-        ConfigFileError: the file cannot be read, is not TOML, or has faults, of which it names all.
+        ConfigFileError: the file cannot be read, is not TOML, or has faults, all of which the error names.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -58,20 +59,20 @@
 
 
 def read_text(section: type[SectionType], text: str, name: str) -> SectionType:
-    """Read the text of a TOML file; errors of its syntax begin with `name`. Raises as `read_file`."""
+    """Read the text of a TOML file; syntax errors begin with `name`; raises as `read_file`."""
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise ConfigFileError([ConfigError(name, str(error))]) from error
     reader = _SectionReader()
-    made = reader.read_section(section, document, path="")
+    parsed = reader.read_section(section, document, path="")
     if reader.errors:
         raise ConfigFileError(reader.errors)
-    return typing.cast(SectionType, made)
+    return typing.cast(SectionType, parsed)
 
 
 class _SectionReader:
-    """Converts decoded TOML and collects every fault on the way."""
+    """Converts decoded TOML to sections, and collects all faults in `errors`."""
 
     def __init__(self) -> None:
         self.errors: list[ConfigError] = []
@@ -119,7 +120,7 @@
             value = msgspec.convert(raw, field_type)
         except msgspec.ValidationError as error:
             message = _message_without_value(error)
-            found = _shown(raw)
+            found = _abbreviated(raw)
             expected = message.removeprefix("expected ")
             self.errors.append(ConfigError(path, f"{message}, found {found}", expected=expected, value=raw))
             return None
@@ -128,16 +129,16 @@
         return value
 
     def _add_mismatch(self, path: str, expected: str, raw: Any) -> None:
-        self.errors.append(ConfigError.mismatch(path, expected=expected, found=_shown(raw), value=raw))
+        self.errors.append(ConfigError.mismatch(path, expected=expected, found=_abbreviated(raw), value=raw))
 
 
 def _message_without_value(error: msgspec.ValidationError) -> str:
-    """Return the message of msgspec without what it found: `expected int >= 24`."""
+    """Return the message of msgspec without the value that was found: `expected int >= 24`."""
     message = str(error).replace("Expected", "expected", 1)
     return FOUND_SUFFIX.sub("", message).replace("`", "")
 
 
-def _shown(raw: Any) -> str:
+def _abbreviated(raw: Any) -> str:
     return repr(raw)[:MAX_SHOWN_VALUE]
 
 
@@ -146,8 +147,8 @@
     """One key of a file, as `locktide check --keys` lists it.
 
     Attributes:
-        path: the key with the tables that it is in; `[]` follows a list of tables.
-        default: its default, as Python spells it.
+        path: the key with the tables that contain it; `[]` follows a list of tables.
+        default: its default, as a Python literal.
         description: its meaning, with the unit of a time.
     """
 
@@ -196,7 +197,7 @@
 
 
 def _item_section(field_type: Any) -> type[msgspec.Struct] | None:
-    """Return the section that a list type has as items; None for any other type."""
+    """Return the section that is the item type of a list; None for any other type."""
     if typing.get_origin(field_type) is not list:
         return None
     (item_type,) = typing.get_args(field_type)
--- a/locktide/protocol/callbacks.py
+++ b/locktide/protocol/callbacks.py
@@ -11,12 +11,12 @@
 from locktide.protocol.messages import Callback
 from locktide.protocol.names import CallbackKey
 
-# What reading JSON of any other shape than that of a callback may raise.
+# Exceptions that reading a JSON document may raise where it does not have the shape of a callback.
 _MALFORMED = (ValueError, KeyError, TypeError, AttributeError, RecursionError, OverflowError)
 
 
 def parse_callback(body: bytes | bytearray) -> Callback:
-    """Read the JSON body of a callback; raise RejectedMessageError where it is none."""
+    """Parse the JSON body of a callback; raise RejectedMessageError where it is not a callback."""
     try:
         return _read_callback(json.loads(body))
     except _MALFORMED as error:
@@ -24,7 +24,7 @@
 
 
 def _read_callback(document: Any) -> Callback:
-    """Read a callback from decoded JSON; raise one of `_MALFORMED` where it is none."""
+    """Read a callback from decoded JSON; raise one of `_MALFORMED` where it is not one."""
     state = document[CallbackKey.STATE]
     is_final = state not in (names.STARTED, names.RUNNING)
     return Callback(
@@ -40,7 +40,7 @@
 
 def _text(value: Any) -> str:
     if not isinstance(value, str):
-        raise TypeError(f"expected a text, not {value!r:.40}")
+        raise TypeError(f"expected a string, not {value!r:.40}")
     return value
 
 
@@ -50,10 +50,10 @@
 
 
 def _result(value: Any) -> bytes:
-    """Return the result in UTF-8; JSON may hold half of a surrogate pair, which is kept."""
+    """Return the result in UTF-8; half of a surrogate pair, which JSON may contain, is kept."""
     return _text(value).encode("utf-8", "surrogatepass")
 
 
 def _fence(value: Any) -> int | None:
-    """Return a fencing number; a value that is none counts as not reported."""
+    """Return a fencing number; a value that is not an integer counts as not reported."""
     return value if isinstance(value, int) else None
--- a/locktide/protocol/client_connection.py
+++ b/locktide/protocol/client_connection.py
@@ -1,16 +1,16 @@
 """The client side of an HTTP connection: one request, its response, then the next request.
 
-One exchange follows another. h11 has a state for each side of the connection; what the pairs mean here:
+One exchange follows another. h11 tracks a state for each side of the connection; the pairs of states mean:
 
     our side   peer's side     meaning
-    IDLE       IDLE            no exchange: a request may be sent, unless bytes came without one
+    IDLE       IDLE            no exchange: a request may be sent, unless bytes arrived without one
     DONE       SEND_RESPONSE   a request is sent, its response is awaited
-    DONE       SEND_BODY       a response is coming in
+    DONE       SEND_BODY       a response is being received
     DONE       DONE            both are complete: the next exchange begins
     any        MUST_CLOSE      the response said "Connection: close": no request follows
 
-The odd corner is the end of the stream. Between exchanges it is the event `h11.ConnectionClosed`; while a
-response is awaited or comes in it is an `h11.RemoteProtocolError`, or the regular end of a body whose
+The end of the stream is a special case. Between exchanges it is the event `h11.ConnectionClosed`; while a
+response is awaited or received it is an `h11.RemoteProtocolError`, or the regular end of a body whose
 length was not stated.
 """
 
@@ -44,14 +44,14 @@
 
 
 class ClientHttpConnection:
-    """Fed what is read; encodes requests, and returns each response once it is complete.
+    """Encodes requests, and parses the responses to them from the bytes that were read.
 
     Attributes:
         has_received: Whether any byte has been read since the request.
     """
 
     def __init__(self, host: str, max_body_size: int = MAX_BODY_SIZE) -> None:
-        """Begin a connection to `host`; a response with a larger body is a fault of the peer."""
+        """Begin a connection to `host`; a response whose body is over `max_body_size` is a ProtocolError."""
         self.has_received = False
         self._machine = h11.Connection(h11.CLIENT)
         self._host = host
@@ -60,7 +60,7 @@
         self._body = bytearray()
 
     def encode_request(self, request: UpstreamRequest) -> list[bytes]:
-        """Return the request in pieces, and await its response from now on."""
+        """Return the encoded request in pieces; its response is awaited from now on."""
         self.has_received = False
         self._head = None
         self._body = bytearray()
@@ -74,10 +74,11 @@
         return pieces
 
     def feed(self, data: bytes) -> UpstreamResponse | None:
-        """Take what was read, b"" at the end of the stream; return the response once it is complete.
+        """Parse bytes that were read, b"" at the end of the stream; return the response once complete.
 
         Raises:
-            ProtocolError: The stream ended before the response, or is not HTTP.
+            ProtocolError: The stream ended before the response was complete, the bytes are not HTTP, or the
+                body is too large.
         """
         self.has_received = self.has_received or bool(data)
         try:
@@ -87,7 +88,7 @@
             raise ProtocolError(str(error), peer=self._host) from error
 
     def _read_response(self) -> UpstreamResponse | None:
-        """Return the response, None until more is fed; raise ProtocolError or h11.RemoteProtocolError."""
+        """Return the response, None while more bytes are needed; raise as `feed`, or h11's error."""
         while True:
             event = self._machine.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED:
--- a/locktide/protocol/discovery.py
+++ b/locktide/protocol/discovery.py
@@ -14,14 +14,14 @@
 from locktide.protocol.client_connection import UpstreamRequest
 from locktide.scheduler.events import EndpointEntry
 
-#: Bytes of the body of a list; enough for some tens of thousands of workers.
+#: Largest body of a list, in bytes; enough for some tens of thousands of workers.
 MAX_LIST_SIZE = 8 * 1024 * 1024
 
-#: Largest part of a list's entries that may be malformed. Above it the list itself is taken to be at fault,
-#: and the one in use stays, as dropping most workers would stop the traffic.
+#: Largest fraction of a list's entries that may be malformed. Above it the whole list is rejected and the one
+#: in use stays, as dropping most workers would stop the traffic.
 MAX_MALFORMED_FRACTION = 0.5
 
-#: Path of a list that discovery has sent, in the texts of errors.
+#: What stands for the path of a list that discovery has sent in error messages.
 RESPONSE_PATH = "list"
 
 
@@ -35,7 +35,7 @@
         entries: One entry for each worker.
         addresses: The address of each worker in `entries`.
         unreadable: Workers that the list names, but whose entry could not be read.
-        faults: Why, one text for each faulty entry, which begins with the key at fault.
+        faults: One message for each malformed entry, which begins with the key at fault.
     """
 
     version: int
@@ -60,14 +60,15 @@
 
 
 def read(document: Any, path: str) -> DiscoveryUpdate:
-    """Read an endpoint list from decoded JSON, of which each entry must be well-formed.
+    """Read an endpoint list from decoded JSON; each entry must be well-formed.
 
     Args:
         document: The decoded JSON.
-        path: Where it is in its file, for the texts of errors.
+        path: Path of the list in its file, for error messages.
 
     Raises:
-        ConfigError: It is no endpoint list; the text begins with the key at fault.
+        ConfigError: The document is not an endpoint list, or an entry is malformed; the message begins with
+            the key at fault.
     """
     return _read_list(JsonObject(document, path), skips_malformed=False)
 
@@ -75,14 +76,15 @@
 def parse(body: bytes) -> DiscoveryUpdate:
     """Read the body of discovery's response.
 
-    A malformed entry, or one of a worker that is listed twice, is left out, and its worker noted as
-    unreadable. A single entry with, say, a state of a later version would otherwise keep out every later
-    change of the list, drains among them. Held by `test_unreadable_entry_costs_its_worker_alone`.
+    An entry that is malformed, or whose worker is listed twice, is left out, and its worker is recorded as
+    unreadable. Otherwise a single such entry, for example one with a state of a later version, would block
+    every later change of the list, including drains. Covered by
+    `test_unreadable_entry_costs_its_worker_alone`.
 
     Raises:
-        ValueError: It is not JSON.
-        ConfigError: It is no endpoint list, or more than `MAX_MALFORMED_FRACTION` of its entries are
-            malformed.
+        ValueError: The body is not JSON.
+        ConfigError: The body is not an endpoint list, or more than `MAX_MALFORMED_FRACTION` of its entries
+            are malformed.
     """
     return _read_list(JsonObject(json.loads(body), RESPONSE_PATH), skips_malformed=True)
 
@@ -90,16 +92,16 @@
 def _read_list(document: JsonObject, skips_malformed: bool) -> DiscoveryUpdate:
     version = document.integer(EndpointListKey.VERSION)
     is_snapshot = document.flag(EndpointListKey.IS_SNAPSHOT)
-    rows = document.items(EndpointListKey.ENDPOINTS)
+    raw_entries = document.items(EndpointListKey.ENDPOINTS)
     reader = _EntryReader()
-    for index, row in enumerate(rows):
+    for index, raw_entry in enumerate(raw_entries):
         try:
-            reader.add(JsonObject(row, f"{document.key(EndpointListKey.ENDPOINTS)}[{index}]"))
+            reader.add(JsonObject(raw_entry, f"{document.key(EndpointListKey.ENDPOINTS)}[{index}]"))
         except ConfigError as error:
             if not skips_malformed:
                 raise
-            reader.skip(row, error)
-            if len(reader.faults) > MAX_MALFORMED_FRACTION * len(rows):
+            reader.skip(raw_entry, error)
+            if len(reader.faults) > MAX_MALFORMED_FRACTION * len(raw_entries):
                 raise
     reader.remove_unreadable()
     return DiscoveryUpdate(
@@ -113,16 +115,16 @@
 
 
 class _EntryReader:
-    """Reads the entries of one list, and notes those that cannot be read."""
+    """Reads the entries of one list, and records those that cannot be read."""
 
     def __init__(self) -> None:
         self.entries: list[EndpointEntry] = []
         self.addresses: dict[str, Address] = {}
-        self.unreadable: dict[str, None] = {}  # workers, in order, each once
+        self.unreadable: dict[str, None] = {}  # a set of workers that keeps their order
         self.faults: list[str] = []
 
     def add(self, json_entry: JsonObject) -> None:
-        """Add an entry; raise ConfigError where it is malformed or its worker is listed already."""
+        """Add an entry; raise ConfigError where it is malformed or its worker is already listed."""
         entry = _read_entry(json_entry)
         entry_address = parse_address(
             json_entry.key(EndpointKey.ADDRESS), json_entry.text(EndpointKey.ADDRESS)
@@ -132,15 +134,15 @@
         self.entries.append(entry)
         self.addresses[entry.worker] = entry_address
 
-    def skip(self, row: Any, error: ConfigError) -> None:
-        """Note that an entry could not be read."""
+    def skip(self, raw_entry: Any, error: ConfigError) -> None:
+        """Record that an entry could not be read."""
         self.faults.append(str(error))
-        worker = row.get(EndpointKey.WORKER) if isinstance(row, dict) else None
+        worker = raw_entry.get(EndpointKey.WORKER) if isinstance(raw_entry, dict) else None
         if isinstance(worker, str):
             self.unreadable[worker] = None
 
     def remove_unreadable(self) -> None:
-        """Remove the unreadable workers in one pass, as a list of many thousands must not block the loop."""
+        """Remove unreadable workers in one pass, so that a list of many thousands does not block the loop."""
         if not self.unreadable:
             return
         self.entries = [entry for entry in self.entries if entry.worker not in self.unreadable]
@@ -149,7 +151,7 @@
 
 
 def _read_entry(json_entry: JsonObject) -> EndpointEntry:
-    """Read one entry; raise ConfigError with the name of the key that is missing or malformed."""
+    """Read one entry; raise ConfigError that names the key that is missing or malformed."""
     return EndpointEntry(
         worker=json_entry.text(EndpointKey.WORKER),
         zone=json_entry.text(EndpointKey.ZONE, ""),
--- a/locktide/protocol/errors.py
+++ b/locktide/protocol/errors.py
@@ -1,7 +1,8 @@
-"""Errors of reading messages; each says whose fault it is.
+"""Errors of parsing messages.
 
-Both are faults of the peer: what it sent, or that it stopped sending. Calling a connection out of turn is a
-fault of this program, and raises `h11.LocalProtocolError`, which nothing catches.
+Both report a fault of the peer: it sent something invalid, or stopped sending. Calling the methods of a
+connection in the wrong order is a fault of this program: it raises `h11.LocalProtocolError`, which nothing
+catches.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
     """The peer sent what HTTP does not allow, or ended the connection before its message was complete.
 
     Attributes:
-        peer: The peer at fault, as HOST:PORT; empty where the message does not depend on it.
-        reason: What it did.
+        peer: The peer at fault, as HOST:PORT; empty where the message does not name it.
+        reason: What the peer did.
     """
 
     def __init__(self, reason: str, peer: str = "") -> None:
@@ -24,11 +25,11 @@
 
 
 class RejectedMessageError(ProtocolError):
-    """The peer sent a message of HTTP that is not accepted here.
+    """The peer sent a message that is valid HTTP but is not accepted here.
 
     Attributes:
         status: The HTTP status to respond with, a 4xx.
-        reason: The text of the response, for whoever sent the message.
+        reason: The text of the response, for the sender of the message.
         is_final: Whether nothing can follow on the connection, because it is not clear where the message
             ends.
     """
--- a/locktide/protocol/header_fields.py
+++ b/locktide/protocol/header_fields.py
@@ -1,4 +1,4 @@
-"""The header fields of a request: read by name, and chosen for the worker."""
+"""Reads the header fields of a request, and selects those that are forwarded to the worker."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from locktide.protocol.errors import RejectedMessageError
 from locktide.protocol.messages import Headers
 
-# Fields that concern one connection only, or are written anew for the next one.
+# Fields that apply to one connection only, or are set anew for the connection to the worker.
 HOP_BY_HOP_FIELDS = frozenset(
     name.encode()
     for name in (
@@ -27,8 +27,7 @@
         names.TIMEOUT.lower(),
     )
 )
-# Each of these is sent once or not at all: of two, this dispatcher could read the first and a worker the
-# second.
+# Fields that may occur at most once: of two values, the dispatcher could use one and a worker the other.
 UNIQUE_FIELDS = frozenset(
     name.lower()
     for name in (
@@ -48,13 +47,13 @@
     for raw_name, value in head.headers:
         name = raw_name.decode("ascii")
         if name in UNIQUE_FIELDS and name in fields:
-            raise RejectedMessageError(HTTPStatus.BAD_REQUEST, f"{name} is told twice")
+            raise RejectedMessageError(HTTPStatus.BAD_REQUEST, f"{name} is given twice")
         fields[name] = value.decode("latin-1")
     return fields
 
 
 def end_to_end_fields(head: h11.Request) -> Headers:
-    """Return the header fields that are forwarded to the worker, spelled as they came."""
+    """Return the header fields that are forwarded to the worker, spelled as received."""
     return [
         (name, value) for name, value in head.headers.raw_items() if name.lower() not in HOP_BY_HOP_FIELDS
     ]
--- a/locktide/protocol/messages.py
+++ b/locktide/protocol/messages.py
@@ -9,15 +9,15 @@
 #: Header fields of a message, in order, spelled as they are on the wire.
 Headers = list[tuple[bytes, bytes]]
 
-#: Least time from its receipt that is taken off a request's timeout, in microseconds: the margin of its
-#: deadline covers less.
+#: Shortest time since its receipt that is subtracted from a request's timeout, in microseconds: the margin of
+#: its deadline covers shorter times.
 MIN_TIME_WAITED = 20_000
-#: Least timeout that is left then, in microseconds: the request is answered at once.
+#: Shortest timeout that can result, in microseconds: the request is answered at once.
 MIN_TIMEOUT = 1
 MICROSECONDS_PER_SECOND = 1e6
 
-#: Bytes of the body of a request or of a response. Larger ones are rejected, so that a peer cannot fill the
-#: memory with one message.
+#: Largest body of a request or of a response, in bytes. Larger ones are rejected, so that a peer cannot fill
+#: the memory with one message.
 MAX_BODY_SIZE = 64 * 1024
 
 
@@ -39,8 +39,8 @@
         work_hint: The expected run time in microseconds; 0 where the client gives none.
         tenant: Who is charged for the job, where the client says so.
         affinity_key: Hash of the object that the job is about, where the target names one.
-        received_at: When its last byte came to this machine, in seconds of the event loop; None where nobody
-            knows.
+        received_at: When its last byte reached this machine, in seconds of the event loop; None where that
+            is unknown.
     """
 
     id: str
@@ -59,11 +59,12 @@
     received_at: float | None = None
 
     def time_left(self, now: float) -> int:
-        """Return how much of its timeout is left, in microseconds; `now` in seconds of the event loop.
+        """Return how much of the timeout is left, in microseconds; `now` is in seconds of the event loop.
 
-        A request may lie unread for long: in the kernel's queue of connections, or while the process gets no
-        processor. The client's time runs meanwhile, and reckoned from the reading a worker was told more than
-        was left of it (test_no_attempt_tells_more_time_than_is_left_by_a_dispatcher_held_up_before_it_reads).
+        A request may stay unread for a long time: in the kernel's queue of connections, or while the process
+        gets no CPU time. The client's timeout runs meanwhile. Counted from the time of reading, the timeout
+        that a worker was given was longer than what was left
+        (test_no_attempt_tells_more_time_than_is_left_by_a_dispatcher_held_up_before_it_reads).
         """
         if self.received_at is None:
             return self.timeout
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Callback:
-    """What a worker reports of a job.
+    """A worker's report on a job.
 
     Attributes:
         request_id: The request that the job belongs to.
@@ -84,7 +85,7 @@
             `names.CALLBACK_OUTCOMES`.
         fraction_done: Progress from 0.0 to 1.0.
         outcome: How the attempt ended; None where it has not ended.
-        result: Body of the response to the client, of a job that is done.
+        result: Body of the response to the client; empty unless the job is done.
         fence: Fencing number of the attempt's lease, from workers that report it.
     """
 
--- a/locktide/protocol/names.py
+++ b/locktide/protocol/names.py
@@ -1,9 +1,9 @@
 """The names of header fields, paths, JSON keys and states on the wire; each is written here and nowhere else.
 
-Keys of the endpoint list are in `locktide.config.platform_keys`, as the start file has a list, too.
+Keys of the endpoint list are in `locktide.config.platform_keys`, as the start file also contains a list.
 
-The constants have our names, their values are the platform's. Where the platform has a word for one of our
-enums, a table maps each word to the member.
+Constants are named by the terms of this project; their values are the platform's names. Where the platform
+has names for the members of an enum, a table maps each name to its member.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 TIMEOUT = "Req-Deadline"
 RETRY = "Req-Retry"
 EXTRAS = "Req-Extra"
-DECLINED = "Srv-Declined"  # "1" where a worker has no free slot
+DECLINED = "Srv-Declined"  # "1": the worker has no free slot
 PREFER = "Prefer"  # RFC 7240
 FENCE = "Lease-Fence"  # fencing number of a durable job's lease; a worker may report it back in its callbacks
 JOB_STATE = "Job-State"
@@ -29,12 +29,12 @@
 #: Value of `RETRY` and of `DECLINED` that means yes.
 FLAG_SET = "1"
 
-# Names of the pairs in `EXTRAS`.
+# Names of the `name=value` pairs in `EXTRAS`.
 WIDTH = "slots"
 WORK_HINT = "hint"  # the expected work, in milliseconds
 TENANT = "tenant"
 
-# In the query of a request's target.
+# Query parameter of a request's target.
 OBJECT = "obj"  # the object that the request is about
 
 READY = "/health/ready"
@@ -67,6 +67,6 @@
 }
 
 
-# In the query of a request for the endpoint list.
+# Query parameters of a request for the endpoint list.
 AFTER_VERSION = "after"
 WAIT_MILLISECONDS = "wait_ms"
--- a/locktide/protocol/request_framing.py
+++ b/locktide/protocol/request_framing.py
@@ -1,4 +1,4 @@
-"""Where the body of a request ends: rejects a body that is too large, or whose end is not clear."""
+"""Checks the framing of a request: rejects a body that is too large, or whose end is ambiguous."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 def check_framing(head: h11.Request) -> None:
-    """Raise RejectedMessageError where the body is too large or its end is not clear.
+    """Raise RejectedMessageError where the body is too large or its end is ambiguous.
 
-    Without it a request could be hidden in the body of another (request smuggling, RFC 9112, 11.2): where
-    the length is stated twice, a proxy before us may end the body at one place and we at the other.
-    HTTP/1.0 knows no transfer codings. Held by `test_bad_request_is_rejected_with_its_4xx`.
+    Otherwise a request could be hidden in the body of another (request smuggling, RFC 9112, 11.2): where the
+    length is stated twice, a proxy in front of the dispatcher may use one length and the dispatcher the
+    other. HTTP/1.0 has no transfer codings. Covered by `test_bad_request_is_rejected_with_its_4xx`.
     """
     framing_fields = [name for name, _ in head.headers if name in (CONTENT_LENGTH, TRANSFER_ENCODING)]
     is_coded_in_http_1_0 = framing_fields == [TRANSFER_ENCODING] and head.http_version < b"1.1"
     if len(framing_fields) > 1 or is_coded_in_http_1_0:
         raise RejectedMessageError(
-            HTTPStatus.BAD_REQUEST, "the length of the body is told in two ways", is_final=True
+            HTTPStatus.BAD_REQUEST, "the length of the body is stated in two ways", is_final=True
         )
     for name, value in head.headers:
         if name == CONTENT_LENGTH:
@@ -32,7 +32,7 @@
 
 
 def check_body_size(size: int) -> None:
-    """Raise RejectedMessageError where a body of that many bytes is too large."""
+    """Raise RejectedMessageError where a body of `size` bytes is too large."""
     if size > MAX_BODY_SIZE:
         raise RejectedMessageError(
             HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"a body holds at most {MAX_BODY_SIZE} bytes", is_final=True
--- a/locktide/protocol/request_router.py
+++ b/locktide/protocol/request_router.py
@@ -1,4 +1,4 @@
-"""Finds out by method and path what message a request is."""
+"""Determines the message that a request is by its method and path."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """Parses a complete request as the message that its path names."""
 
     def __init__(self, timeouts: Mapping[str, int], keyed_classes: Collection[str], keeps_jobs: bool) -> None:
-        """Route requests of some service classes.
+        """Route the requests of these service classes.
 
         Args:
             timeouts: Timeout of each service class, in microseconds.
@@ -37,14 +37,14 @@
         """Return the message that a request is.
 
         Args:
-            head: Request line and header fields as they came.
+            head: Request line and header fields as received.
             body: The payload.
-            has_unparsed_bytes: Whether more was received behind the body.
+            has_unparsed_bytes: Whether more bytes were received after the body.
 
         Raises:
-            RejectedMessageError: The request is none of our messages, or a malformed one.
+            RejectedMessageError: The request is not a message that a dispatcher accepts, or is malformed.
         """
-        # h11 takes nothing but ASCII, other than in the values of header fields.
+        # h11 accepts only ASCII, except in the values of header fields.
         method = head.method.decode("ascii")
         path = head.target.decode("ascii").partition("?")[0]
         fields = read_fields(head)
@@ -61,11 +61,11 @@
         service_class = self._parse_service_class(path)
         _require_method(method, "POST")
         if has_unparsed_bytes:
-            # A client waits for the response before it sends its next request. Bytes behind the body mean
-            # that the stated length is too short: what follows is part of this body, and must not be read
-            # as a request.
+            # A client waits for the response before it sends its next request. Bytes after the body mean
+            # that the stated length is too short: they are part of this body, and must not be parsed as a
+            # request.
             raise RejectedMessageError(
-                HTTPStatus.BAD_REQUEST, "something follows before the answer", is_final=True
+                HTTPStatus.BAD_REQUEST, "more bytes follow before the response", is_final=True
             )
         return self._submission_parser.parse(head, fields, bytes(body), service_class)
 
@@ -84,6 +84,6 @@
 
 
 def _require_method(method: str, *allowed: str) -> None:
-    """Raise RejectedMessageError, naming the first of those allowed, where the method is another."""
+    """Raise RejectedMessageError, which names the first allowed method, where the method is not allowed."""
     if method not in allowed:
         raise RejectedMessageError(HTTPStatus.METHOD_NOT_ALLOWED, f"expected {allowed[0]}")
--- a/locktide/protocol/server_connection.py
+++ b/locktide/protocol/server_connection.py
@@ -1,19 +1,19 @@
 """The server side of an HTTP connection, on which clients submit requests and workers call back.
 
-One exchange follows another. h11 has a state for each side of the connection; what the pairs mean here:
+One exchange follows another. h11 tracks a state for each side of the connection; the pairs of states mean:
 
     peer's side   our side        meaning
     IDLE          IDLE            between two messages
-    SEND_BODY     SEND_RESPONSE   a message is coming in; it may be rejected before its end
-    DONE          SEND_RESPONSE   a message was returned, its response is owed
+    SEND_BODY     SEND_RESPONSE   a message is being received; it may be rejected before its end
+    DONE          SEND_RESPONSE   a message was returned, its response is due
     DONE          DONE            both are complete: the next exchange begins
-    MUST_CLOSE    SEND_RESPONSE   the same as the third, but the peer closes after the response
+    MUST_CLOSE    SEND_RESPONSE   as DONE, SEND_RESPONSE, but the peer closes after the response
     ERROR         IDLE            the request line or the header is not HTTP
     ERROR         SEND_RESPONSE   the body is not HTTP
     any           MUST_CLOSE      the response said "Connection: close": nothing follows
 
-The odd corner is ERROR: h11 reads nothing more, but lets us send one response, which says what was wrong.
-It is always the last on its connection, as it is not known where the next message begins.
+ERROR is a special case: h11 parses nothing more, but one response may be sent, which says what was wrong.
+This response is always the last on its connection, as it is not known where the next message begins.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 
 
 class ServerHttpConnection:
-    """Fed bytes; returns one message at a time, and encodes the response to each before the next.
+    """Parses messages from the bytes that are fed, one at a time, and encodes the response to each.
 
-    The end of the stream is the caller's to notice: it ends no message.
+    The caller has to detect the end of the stream, which completes no message.
 
     Attributes:
         is_final: Whether nothing can follow on this connection.
@@ -44,7 +44,7 @@
     def __init__(
         self, timeouts: Mapping[str, int], keyed_classes: Collection[str], keeps_jobs: bool = False
     ) -> None:
-        """Begin before the first byte.
+        """Begin a connection on which nothing was received yet.
 
         Args:
             timeouts: Timeout of each service class, in microseconds.
@@ -58,12 +58,12 @@
         self._body = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Take bytes that were read from the socket."""
+        """Add bytes that were read from the socket."""
         self._machine.receive_data(data)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no byte has been fed of a message that has no response yet."""
+        """Whether no byte was fed of a message that is still without a response."""
         return self._machine.their_state is h11.IDLE and not self.unparsed_bytes
 
     @property
@@ -85,7 +85,7 @@
         return self._send(h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[]))
 
     def next_message(self) -> Message | None:
-        """Return the next message; None until more is fed."""
+        """Return the next message; None while more bytes are needed."""
         try:
             return self._read_message()
         except RejectedMessageError as error:
@@ -96,7 +96,7 @@
             return BadRequest(_rejection_status(error), str(error))
 
     def _read_message(self) -> AcceptedMessage | None:
-        """As `next_message`; raise RejectedMessageError or h11.RemoteProtocolError."""
+        """Return as `next_message`; raise RejectedMessageError or h11.RemoteProtocolError."""
         while True:
             event = self._machine.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED:
@@ -121,11 +121,11 @@
     def encode_response(
         self, status: int, body: bytes, headers: list[tuple[str, str]], is_final: bool
     ) -> list[bytes]:
-        """Return the response to the message returned last, in pieces; a final one closes the connection."""
+        """Return the response to the latest message, in pieces; a final response closes the connection."""
         self.is_final = self.is_final or is_final
         if self._machine.our_state not in RESPONSE_STATES:
-            # The exchange has its response, or the connection is closed after it: another response would be
-            # read as that of the next request.
+            # The exchange already has its response, or the connection closes after it: the peer would read
+            # another response as that to its next request.
             self.is_final = True
             return []
         pieces = self._send(
--- a/locktide/protocol/submissions.py
+++ b/locktide/protocol/submissions.py
@@ -16,9 +16,9 @@
 from locktide.protocol.header_fields import end_to_end_fields
 from locktide.protocol.messages import SubmitRequest
 
-#: What a request id or an idempotency key may be made of: printable ASCII without spaces.
+#: A request id or an idempotency key: printable ASCII without spaces.
 IDENTIFIER_PATTERN = re.compile(r"[!-~]{1,128}")
-#: A timeout: a number, and its unit as a key of `MICROSECONDS_BY_UNIT`.
+#: A timeout: a number followed by its unit, a key of `MICROSECONDS_BY_UNIT`.
 TIMEOUT_PATTERN = re.compile(r"(\d{1,12}(?:\.\d{1,9})?)([mu])", re.ASCII)
 WIDTH_PATTERN = re.compile(r"\d{1,3}(\.\d{1,6})?", re.ASCII)
 WORK_HINT_PATTERN = re.compile(r"\d{1,9}(\.\d{1,6})?", re.ASCII)
@@ -27,8 +27,8 @@
 #: The units of a timeout on the wire.
 MICROSECONDS_BY_UNIT = {"m": MICROSECONDS_PER_MILLISECOND, "u": 1}
 
-#: Longest timeout of a request, as a multiple of that of its service class. Clients wait for less than two;
-#: a request with any number of years would occupy its place in the queue for good.
+#: Longest timeout of a request, as a multiple of that of its service class. Clients wait for less than twice
+#: the latter; a request with a timeout of years would occupy its place in the queue for good.
 MAX_TIMEOUT_FACTOR = 10
 
 #: Width of a request that states none, in slots.
@@ -50,10 +50,10 @@
     def parse(
         self, head: h11.Request, fields: Mapping[str, str], body: bytes, service_class: str
     ) -> SubmitRequest:
-        """Read a submitted request.
+        """Parse a submitted request.
 
         Args:
-            head: Request line and header fields as they came.
+            head: Request line and header fields as received.
             fields: The header fields by lower-case name.
             body: The payload.
             service_class: The service class that the path names.
@@ -90,7 +90,7 @@
     """Return the request id; raise RejectedMessageError where it is missing or malformed."""
     request_id = fields.get(names.REQUEST_ID.lower(), "")
     if not IDENTIFIER_PATTERN.fullmatch(request_id):
-        raise _bad_request(f"{names.REQUEST_ID} is missing or not an id")
+        raise _bad_request(f"{names.REQUEST_ID} is missing or malformed")
     return request_id
 
 
@@ -102,7 +102,7 @@
     number, unit = match.groups()
     timeout = round(float(number) * MICROSECONDS_BY_UNIT[unit])
     if not 0 < timeout <= MAX_TIMEOUT_FACTOR * class_timeout:
-        raise _bad_request(f"{names.TIMEOUT}: no time at all, or far over that of the grade")
+        raise _bad_request(f"{names.TIMEOUT}: the time is zero, or far over that of the grade")
     return timeout
 
 
@@ -112,7 +112,7 @@
     if key is None and not is_required:
         return
     if not IDENTIFIER_PATTERN.fullmatch(key or ""):
-        raise _bad_request(f"{names.IDEMPOTENCY_KEY} is missing or not a number")
+        raise _bad_request(f"{names.IDEMPOTENCY_KEY} is missing or malformed")
 
 
 def parse_extra_pairs(fields: Mapping[str, str]) -> list[tuple[str, str]]:
@@ -122,7 +122,7 @@
 
 
 def parse_width(extra_pairs: list[tuple[str, str]]) -> float:
-    """Return how many slots the job takes; raise RejectedMessageError for none."""
+    """Return how many slots the job takes, 1 by default; raise RejectedMessageError if malformed or 0."""
     widths = [value for name, value in extra_pairs if name == names.WIDTH] or [DEFAULT_WIDTH]
     is_well_formed = len(widths) == 1 and WIDTH_PATTERN.fullmatch(widths[0])
     width = float(widths[0]) if is_well_formed else 0.0
@@ -132,7 +132,7 @@
 
 
 def parse_work_hint(extras: Mapping[str, str]) -> int:
-    """Return the expected run time in microseconds; 0 where it is malformed, as it only advises."""
+    """Return the expected run time in microseconds; 0 where it is malformed, as it is only advisory."""
     milliseconds = extras.get(names.WORK_HINT, "")
     if not WORK_HINT_PATTERN.fullmatch(milliseconds):
         return 0
@@ -140,7 +140,7 @@
 
 
 def parse_affinity_key(target: str) -> int | None:
-    """Return a hash of the object that the target's query names, None where it names none."""
+    """Return a hash of the object that the target's query names; None where it names no object."""
     _, _, query = target.partition("?")
     objects = parse_qs(query).get(names.OBJECT)
     return crc32(objects[0].encode()) if objects else None
--- a/locktide/protocol/worker_messages.py
+++ b/locktide/protocol/worker_messages.py
@@ -1,4 +1,4 @@
-"""The requests to workers, and what their responses mean."""
+"""Builds the requests to workers, and interprets their responses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from locktide.protocol.messages import SubmitRequest
 from locktide.scheduler.types import AttemptOutcome
 
-#: Statuses with which a worker may decline a job for want of a free slot.
+#: Statuses with which a worker may decline a job because it has no free slot.
 DECLINING_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 
@@ -34,7 +34,7 @@
 
 
 def response_outcome(response: UpstreamResponse) -> AttemptOutcome | None:
-    """Return how the response ends the attempt; None where the worker has accepted the job."""
+    """Return the outcome of the attempt by the response; None where the worker has accepted the job."""
     if response.status == HTTPStatus.ACCEPTED:
         return None
     if HTTPStatus.BAD_REQUEST <= response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
--- a/tests/cli/test_logs.py
+++ b/tests/cli/test_logs.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from locktide.cli.logs import FORMATS, Structured
+from locktide.cli.logs import FORMATS, StructuredLog
 from locktide.scheduler.types import AttemptOutcome
 
 
@@ -18,7 +18,7 @@
     The line said status=<HTTPStatus.BAD_REQUEST: 400>. Fields that are enums must be written as their values,
     in each format.
     """
-    log = Structured("d0", form)
+    log = StructuredLog("d0", form)
     log.emit("line", event="message_rejected", status=HTTPStatus.BAD_REQUEST, outcome=AttemptOutcome.RESET)
     written = capsys.readouterr().err
     if form == "json":
