--- a/tests/bench_adapter/test_decoding.py
+++ b/tests/bench_adapter/test_decoding.py
@@ -1,4 +1,4 @@
-"""Each message of the wire that is an event, as the scheduler gets it."""
+"""Decoding of each message of the wire that is an event of the scheduler."""
 
 from __future__ import annotations
 
@@ -60,10 +60,10 @@
     assert {line.partition(" ")[0] for line in EVENTS} == set(EVENT_DECODERS)
 
 
-def test_words_of_the_wire_mean_what_its_page_says() -> None:
-    """The tables are complete also where two words are exchanged, and so are all types.
+def test_names_of_the_wire_have_their_documented_meaning() -> None:
+    """Two values in a table are swapped: the table is still complete, and all types are still right.
 
-    A worker that is full would count as one that failed, and nothing would show it but a worse score.
+    A worker that is full would count as one that failed, and only a worse score would show it.
     """
     assert spellings.OUTCOMES == {
         "OK": AttemptOutcome.DONE,
--- a/tests/bench_adapter/test_spellings.py
+++ b/tests/bench_adapter/test_spellings.py
@@ -1,4 +1,4 @@
-"""The tables of the wire are complete: a member that the wire cannot spell is named with the reason."""
+"""The tables of the wire are complete: a member without a spelling is listed with the reason."""
 
 from __future__ import annotations
 
--- a/tests/bench_adapter/test_wire.py
+++ b/tests/bench_adapter/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: good lines, malformed lines, and the host's exits."""
+"""The simulator's wire: valid lines, malformed lines, and the exit codes of the adapter."""
 
 from __future__ import annotations
 
@@ -58,9 +58,9 @@
 def test_endpoint_list_is_the_one_in_force_when_it_was_named() -> None:
     """The simulator sends a list under an id, names the id in updates, and later sends another list under it.
 
-    Two instances got updates in one batch, before and after the second list. Were the id looked up at the end
-    of the batch, the first instance would send requests to workers of a later list. Each update has to carry
-    the list as it was at its line.
+    Two instances got updates in one batch, before and after the second list. If the id were looked up at the
+    end of the batch, the first instance would send requests to workers of a later list. Each update must have
+    the list that was in force at its line.
     """
     text = START + LIST.format("worker-a") + "TO DispatcherId=4\n" + START.splitlines()[2] + "\n"
     text += LIST.format("worker-b") + "QUERY Corr=7 Cls=view GiveUpAt=6010\nTO DispatcherId=3\n"
@@ -73,7 +73,7 @@
 def test_instance_started_after_its_stop_in_one_batch_has_no_earlier_events() -> None:
     """An instance got a request, was stopped and was started again, all in one batch.
 
-    With the events of its former life the new scheduler would send a request that no longer exists. The
+    With the events from before the stop the new scheduler would send a request that no longer exists. The
     events of a batch before a stop must not reach the scheduler after it.
     """
     text = START + LIST.format("worker-a") + "EOB\nSYNC AtTime=20\nTO DispatcherId=3\n"
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         ("HELLO A=1\n", "line 1: expected SYNC"),
         ("SYNC AtTime=soon\nEOB\n", "line 1: expected a time"),
@@ -132,18 +132,18 @@
         ("SYNC AtTime=1\n", "line 1: expected EOB"),
     ],
 )
-def test_malformed_input_is_one_line_and_exit_two(text: str, said: str) -> None:
+def test_malformed_input_is_one_line_and_exit_two(text: str, message: str) -> None:
     command = [sys.executable, "-m", "locktide.bench_adapter"]
     run = subprocess.run(command, input=text, capture_output=True, text=True, check=False)
     assert run.returncode == 2 and run.stdout == ""
-    assert run.stderr.startswith(said) and run.stderr.count("\n") == 1
+    assert run.stderr.startswith(message) and run.stderr.count("\n") == 1
 
 
 def test_exception_in_the_scheduler_fails_the_instance(monkeypatch: pytest.MonkeyPatch) -> None:
     """An exception in one scheduler ended the whole process, and with it all instances that it ran.
 
-    The simulator then had no reply and no reason. The instance at fault has to answer with the error, and the
-    batch has to be completed.
+    The simulator then got no reply and no reason. The instance at fault must reply with the error, and the
+    batch must be completed.
     """
 
     def broken(self: object, now: int, events: list[object]) -> list[object]:
--- a/tests/config/test_spellings.py
+++ b/tests/config/test_spellings.py
@@ -29,8 +29,8 @@
 def test_file_spelling_and_its_platform_spelling_mean_the_same() -> None:
     """The same class is written `numbered` in a file and `guarded` in the platform's settings.
 
-    An installation is read by way of the platform's spellings. A table that swaps two of them would give
-    requests another effect in a dispatcher that is configured by a file, without any error.
+    An installation is converted to the platform's spellings before it is read. A table with two of them
+    swapped would give requests another effect in a dispatcher that is configured by a file, without an error.
     """
     for spelling, platform_spelling in PLATFORM_EFFECTS.items():
         assert spellings.EFFECTS[spelling] is platform_keys.EFFECTS[platform_spelling]
--- a/tests/config/test_start_file.py
+++ b/tests/config/test_start_file.py
@@ -51,12 +51,12 @@
         settings.scheduler_config.service_classes[0].timeout == 6_000_000
         and settings.scheduler_config.dispatcher_count == 1
     )
-    moved = {"GW_CONFIG": str(tmp_path / "start.json"), "GW_DISCOVERY": "127.0.0.9:2"}
-    assert start.read_start(moved).discovery == ("127.0.0.9", 2)
-    assert start.read_start(moved, is_reload=True).discovery == (
+    environment = {"GW_CONFIG": str(tmp_path / "start.json"), "GW_DISCOVERY": "127.0.0.9:2"}
+    assert start.read_start(environment).discovery == ("127.0.0.9", 2)
+    assert start.read_start(environment, is_reload=True).discovery == (
         "127.0.0.1",
         8500,
-    )  # at a reload the file counts
+    )  # a reload uses the file's address
 
 
 @pytest.mark.parametrize(
@@ -94,8 +94,8 @@
 
 
 def test_missing_key_or_malformed_json_is_named(tmp_path: Path) -> None:
-    empty = {**START_FILE, "settings": {}}
-    for document, message in [(empty, "settings.ServiceGrades: is missing"), ("{", "GW_CONFIG: ")]:
+    without_classes = {**START_FILE, "settings": {}}
+    for document, message in [(without_classes, "settings.ServiceGrades: is missing"), ("{", "GW_CONFIG: ")]:
         with pytest.raises(ConfigError) as error:
             read_start(tmp_path, document)
         assert str(error.value).startswith(message)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The limit of each test: one that hangs on the fault it is for fails, and says where it hung."""
+"""The time limit of each test: one that hangs on the fault that it guards against fails and shows where."""
 
 from __future__ import annotations
 
--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -7,11 +7,11 @@
 
 
 def list_entry(worker: str, **changed: Any) -> dict[str, Any]:
-    """Returns an entry as it stands on the wire, with some of its keys changed."""
-    plain = {"uid": worker, "endpoint": "127.0.0.1:9", "az": "a", "model": "m", "state": "active"}
-    return {**plain, **changed}
+    """Return an entry in the form of the wire, with some of its keys changed."""
+    defaults = {"uid": worker, "endpoint": "127.0.0.1:9", "az": "a", "model": "m", "state": "active"}
+    return {**defaults, **changed}
 
 
 def list_body(*entries: Any, version: int = 3) -> bytes:
-    """Returns the body of discovery's response with a whole list."""
+    """Return the body of discovery's response with a whole list."""
     return json.dumps({"rev": version, "all": True, "targets": entries}).encode()
--- a/tests/protocol/test_client_connection.py
+++ b/tests/protocol/test_client_connection.py
@@ -30,8 +30,8 @@
 def test_response_that_breaks_off_is_a_protocol_error(data: bytes) -> None:
     """A worker dies while it responds, or something that is no HTTP server listens on its port.
 
-    The dispatcher has a part of a response, or bytes that are none. It must not take them for a response: the
-    error says that the peer is at fault, and names it.
+    The dispatcher has received a part of a response, or bytes that are not one. It must not treat them as a
+    response: the error says that the peer is at fault, and names it.
     """
     http = ClientHttpConnection("w:1")
     http.encode_request(UpstreamRequest("GET", "/", []))
@@ -44,7 +44,7 @@
 def test_connection_that_the_worker_closes_is_not_idle() -> None:
     """A worker responds and says that it will close the connection.
 
-    A request that is sent on it all the same meets a closed socket, and whether it ran is not known. The
+    A further request on it would meet a closed socket, and it would not be known whether it ran. The
     connection must not be offered for another request.
     """
     http = ClientHttpConnection("w:1")
@@ -56,8 +56,8 @@
 def test_connection_with_bytes_behind_its_response_is_not_idle() -> None:
     """A worker sends more bytes than its response has.
 
-    They would be read as the beginning of the response to the next request, and so give a job the outcome
-    of another. The connection must not be offered for another request.
+    They would be read as the beginning of the response to the next request, and one job would get the
+    outcome of another. The connection must not be offered for another request.
     """
     http = ClientHttpConnection("w:1")
     http.encode_request(UpstreamRequest("GET", "/", []))
@@ -68,7 +68,7 @@
 def test_response_over_the_size_limit_is_a_protocol_error() -> None:
     """A faulty worker sends a response without end.
 
-    The dispatcher must not fill its memory with it, and must give up as soon as the limit is passed.
+    The dispatcher must not fill its memory with it, and must fail as soon as the limit is passed.
     """
     http = ClientHttpConnection("w:1", max_body_size=10)
     http.encode_request(UpstreamRequest("GET", "/", []))
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -48,9 +48,9 @@
 def test_unreadable_entry_costs_its_worker_alone(faulty: list[Any], message: str) -> None:
     """A later version of discovery lists one worker with a state that this dispatcher does not know.
 
-    Were the whole list rejected for it, the dispatcher would go on with its old list and send jobs to
-    workers that are draining, until somebody noticed. All other entries must count; the worker with the
-    unreadable entry gets no jobs until it is listed properly.
+    If the whole list were rejected for it, the dispatcher would continue with its old list and send jobs to
+    workers that are draining, until somebody noticed. All other entries must be used; the worker with the
+    unreadable entry gets no jobs until its entry is readable.
     """
 
     async def run() -> None:
@@ -65,7 +65,7 @@
         accepting = [number for number in range(5) if play.node.endpoints.accepts_requests(f"w{number}")]
         assert accepting == [1, 3, 4]
         play.node.endpoint_list.apply(discovery.parse(list_body(list_entry("w0"), version=4)))
-        assert play.node.endpoints.accepts_requests("w0")  # once it is listed properly
+        assert play.node.endpoints.accepts_requests("w0")  # once its entry is readable
 
     asyncio.run(run())
 
@@ -73,7 +73,7 @@
 def test_strict_list_with_a_malformed_entry_is_refused_with_the_key_named() -> None:
     """An operator's start file has a cached endpoint list with a typing error in one entry.
 
-    At the start somebody is there to mend it: the file must be rejected, and the error must name the key.
+    At the start an operator can correct it: the file must be rejected, and the error must name the key.
     """
     with pytest.raises(ConfigError, match=r"known\.targets\[0\]\.state: expected one of"):
         discovery.read({"rev": 1, "all": True, "targets": [{**ENTRY, "state": "odd"}]}, "known")
@@ -83,7 +83,7 @@
     """Discovery sends a list of which most entries cannot be read, because the format has changed.
 
     Leaving out most workers would stop the traffic, so such a list is rejected as a whole and the one in use
-    stays. Where few entries are unreadable, one of a worker that was never listed must not make it known.
+    stays. Where few entries are unreadable, the entry of a worker that was never listed must not add it.
     """
     with pytest.raises(ConfigError, match="expected one of"):
         discovery.parse(
--- a/tests/protocol/test_names.py
+++ b/tests/protocol/test_names.py
@@ -1,4 +1,4 @@
-"""The words of the wire for our enums: each has one meaning, and each state of an endpoint has a word."""
+"""Names of enum members on the wire: each has one meaning, and each state of an endpoint has a name."""
 
 from __future__ import annotations
 
--- a/tests/protocol/test_server_connection.py
+++ b/tests/protocol/test_server_connection.py
@@ -21,12 +21,12 @@
 ) -> tuple[list[Message], bytes]:
     """Feed data in random pieces and respond to each message; return the messages and what was written."""
     http = http or ServerHttpConnection(TIMEOUTS, KEYED_CLASSES)
-    found: list[Message] = []
+    messages: list[Message] = []
     written = b""
     while not http.is_final:
         message = http.next_message()
         if message is not None:
-            found.append(message)
+            messages.append(message)
             status = message.status if isinstance(message, BadRequest) else 200
             written += b"".join(http.encode_response(status, b"so\n", [], False))
         elif data:
@@ -35,17 +35,17 @@
             data = data[size:]
         else:
             break
-    return found, written
+    return messages, written
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_messages_fed_in_any_pieces_are_read_as_sent(seed: int) -> None:
     generator = random.Random(seed)
     bodies = [bytes(generator.choices(range(256), k=generator.choice([0, 1, 700]))) for _ in range(6)]
-    found: list[Message] = []
+    received: list[Message] = []
     http = ServerHttpConnection(TIMEOUTS, KEYED_CLASSES)
     for number, body in enumerate(bodies):
-        for whole in (
+        for data in (
             submit(
                 f"/record?obj={number}",
                 body,
@@ -57,12 +57,12 @@
             ),
             call(id=f"id{number}", **{"from": "w"}, state="running", share=0.25),
         ):
-            messages, written = exchange_messages(whole, generator, http)
-            found += messages
+            messages, written = exchange_messages(data, generator, http)
+            received += messages
             assert written.count(b"HTTP/1.1 200") == 1
-    assert len(found) == 12
+    assert len(received) == 12
     for number, body in enumerate(bodies):
-        submission = found[2 * number]
+        submission = received[2 * number]
         assert isinstance(submission, SubmitRequest)
         assert (submission.id, submission.service_class, submission.target) == (
             f"id{number}",
@@ -76,30 +76,37 @@
             480_000,
         )
         upstream_request = worker_messages.job_request(submission, 1234)
-        onward = dict(upstream_request.headers)
-        assert onward[b"Idempotency-Key"] == b"k%d" % number and onward[b"X-Note"] == b"caf\xe9"
-        assert onward[b"Req-Deadline"] == b"1234u" and b"Host" not in onward
-        assert found[2 * number + 1] == Callback(f"id{number}", "w", "running", 0.25, None, b"")
-        # What we write to the worker is a message that reads the same on the other side.
-        again, _ = exchange_messages(
+        forwarded_fields = dict(upstream_request.headers)
+        assert (
+            forwarded_fields[b"Idempotency-Key"] == b"k%d" % number
+            and forwarded_fields[b"X-Note"] == b"caf\xe9"
+        )
+        assert forwarded_fields[b"Req-Deadline"] == b"1234u" and b"Host" not in forwarded_fields
+        assert received[2 * number + 1] == Callback(f"id{number}", "w", "running", 0.25, None, b"")
+        # The request that is written to the worker is parsed to the same message there.
+        reparsed, _ = exchange_messages(
             b"".join(ClientHttpConnection("w:1").encode_request(upstream_request)), generator
         )
-        assert isinstance(again[0], SubmitRequest)
-        assert (again[0].id, again[0].target, again[0].body) == (submission.id, submission.target, body)
+        assert isinstance(reparsed[0], SubmitRequest)
+        assert (reparsed[0].id, reparsed[0].target, reparsed[0].body) == (
+            submission.id,
+            submission.target,
+            body,
+        )
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_noise_is_rejected_with_a_4xx(seed: int) -> None:
     """Bytes of a request are changed at random, as by a port scanner or a broken proxy.
 
-    Whatever comes, the connection must neither raise nor respond with a 5xx: the fault is the sender's. 429
-    is kept for overload, and must not come up either.
+    Whatever arrives, the connection must neither raise nor respond with a 5xx: the fault is the sender's. 429
+    is reserved for overload, and must not be the response either.
     """
     generator = random.Random(seed)
-    whole = bytearray(submit(body=b"x" * 30) + call(id="a", **{"from": "w"}, state="done", result="r"))
+    data = bytearray(submit(body=b"x" * 30) + call(id="a", **{"from": "w"}, state="done", result="r"))
     for _ in range(generator.randint(1, 12)):
-        whole[generator.randrange(len(whole))] = generator.randrange(256)
-    for message in exchange_messages(bytes(whole), generator)[0]:
+        data[generator.randrange(len(data))] = generator.randrange(256)
+    for message in exchange_messages(bytes(data), generator)[0]:
         if isinstance(message, BadRequest):
             assert 400 <= message.status < 500 and message.status != 429
 
@@ -158,10 +165,10 @@
     ],
 )
 def test_bad_request_is_rejected_with_its_4xx(data: bytes, status: int) -> None:
-    """A client sends a request with a fault, or one whose end two readers would see at different places.
+    """A client sends a request with a fault, or one whose end two parsers would find at different places.
 
-    Of the second sort a request could be hidden in the body of another, and run without the checks of the
-    first. Each must be rejected with the 4xx that names its fault, and nothing of it may become a request.
+    In the second case a request could be hidden in the body of another, and run without the checks of the
+    first. Each must be rejected with the 4xx of its fault, and no part of it may become a request.
     """
     found, written = exchange_messages(data)
     assert isinstance(found[0], BadRequest) and found[0].status == status
@@ -170,9 +177,9 @@
 
 
 def test_head_request_gets_the_header_of_its_response_alone() -> None:
-    """A load balancer checks the health with HEAD, and goes on to use the connection.
+    """A load balancer checks the health with HEAD, and reuses the connection.
 
-    A body behind the header would be read as the beginning of the next response.
+    A body after the header would be read as the beginning of the next response.
     """
     head = b"HEAD /health/ready HTTP/1.1\r\nHost: us\r\n\r\n"
     found, written = exchange_messages(head + head)
@@ -182,10 +189,10 @@
 
 
 def test_second_response_to_a_message_is_not_sent() -> None:
-    """A message is rejected before its end, and a second response to it comes up later.
+    """A message is rejected before its end, and a second response to it is encoded later.
 
-    On the wire it would be read as the response to the next request. Nothing may be written, and nothing
-    may follow on the connection.
+    On the wire the second one would be read as the response to the next request. Nothing may be written, and
+    nothing may follow on the connection.
     """
     http = ServerHttpConnection(TIMEOUTS, KEYED_CLASSES)
     http.feed(submit(body=b"x" * 100)[:-50])
@@ -197,8 +204,8 @@
 def test_body_is_not_counted_as_buffered_once_its_request_was_returned() -> None:
     """A client waits long for the response to a large request.
 
-    The request has the body by then. Were the connection to count it as well, the listener would reject
-    other clients for want of memory that nothing uses.
+    By then the request has the body. If the connection counted it as well, the listener would reject other
+    clients for lack of memory that nothing uses.
     """
     http = ServerHttpConnection(TIMEOUTS, KEYED_CLASSES)
     data = submit(body=b"x" * 1000)
@@ -230,8 +237,8 @@
 def test_progress_out_of_range_is_clamped_or_rejected(share: str) -> None:
     """A worker computes its progress wrongly and reports NaN, a negative number or one beyond any range.
 
-    Such a number would go into the estimates of run times and spoil each later decision. It must be clamped
-    to a fraction, or the callback rejected.
+    Such a number would distort the estimates of run times, and with them each later decision. It must be
+    clamped to a fraction, or the callback must be rejected.
     """
     http = ServerHttpConnection({"view": 3_000_000}, [])
     callback = f'{{"id": "a", "from": "w0", "state": "running", "share": {share}}}'
--- a/tests/protocol/test_worker_messages.py
+++ b/tests/protocol/test_worker_messages.py
@@ -1,4 +1,4 @@
-"""What the responses of workers mean."""
+"""Outcomes of attempts by the responses of workers."""
 
 from __future__ import annotations
 
--- a/tests/test_parsed_values.py
+++ b/tests/test_parsed_values.py
@@ -1,8 +1,8 @@
-"""Parsed values: what is read at a start means the same, whatever the program calls it.
+"""Parsed values: configuration that is read at a start has the same values after a rename in the program.
 
 Each file under `data/parsed/inputs/` is parsed, rendered as plain data with the stable labels of `SHAPES`,
-and compared with its fixture; the shipped files have to parse to the same as their copies. A renaming edits
-the part of this file above "the comparison" and nothing else, and leaves `data/parsed/` alone.
+and compared with its fixture; the shipped files must parse to the same values as their copies. A rename in
+the program changes only the part of this file above "the comparison", and no file below `data/parsed/`.
 
 `python tests/test_parsed_values.py` writes the fixtures of inputs that have none yet, and no others.
 """
@@ -21,9 +21,9 @@
 
 from locktide.bench_adapter import decoding
 from locktide.bench_adapter import line as wire_line
-from locktide.cluster.bootstrap import cluster_config as accord_terms
-from locktide.cluster.config import ClusterConfig as AccordTerms
-from locktide.cluster.fairness.ledger import FairnessConfig as LedgerTerms
+from locktide.cluster.bootstrap import cluster_config
+from locktide.cluster.config import ClusterConfig
+from locktide.cluster.fairness.ledger import FairnessConfig
 from locktide.cluster.quota.local_quota import QuotaSpec
 from locktide.config import start
 from locktide.config.installation.attempts import AttemptsSection
@@ -38,9 +38,9 @@
 from locktide.config.installation.tenants import TenantSection
 from locktide.config.installation.workers import KnownWorkerSection, WorkersSection
 from locktide.config.json_reader import JsonObject
-from locktide.durable.bootstrap import job_config as durable_terms
-from locktide.durable.job_config import JobConfig as JobTerms
-from locktide.durable.leases import LeaseConfig as LeaseTerms
+from locktide.durable.bootstrap import job_config
+from locktide.durable.job_config import JobConfig
+from locktide.durable.leases import LeaseConfig
 from locktide.protocol import discovery
 from locktide.scheduler.config import (
     ClientConfig,
@@ -56,20 +56,20 @@
 )
 from locktide.scheduler.events import EndpointEntry
 from locktide.scheduler.types import DeduplicationScope, Effect, EndpointState
-from locktide.simulation import rendered_config as told
-from locktide.simulation.model import scenario as script
+from locktide.simulation import rendered_config
+from locktide.simulation.model import scenario as scenarios
 from locktide.simulation.model import tenants
 
 ROOT = Path(__file__).resolve().parents[1]
 DATA = Path(__file__).parent / "data" / "parsed"
 INPUTS = DATA / "inputs"
 
-# --- translation: the only part that knows the program's names
+# --- translation: the only part that depends on the program's names
 
 SHIPPED_INSTALLATION = ROOT / "deploy" / "locktide.toml"
 SHIPPED_SCENARIOS = ROOT / "deploy" / "scenarios"
 
-# Of each class a stable tag and its fields, in a stable order, as LABEL or, once renamed, LABEL=ATTRIBUTE.
+# The stable tag and fields of each class: LABEL, or LABEL=ATTRIBUTE where the attribute was renamed.
 SHAPES: dict[type, tuple[str, str]] = {
     ServeSection: (
         "installation-serve",
@@ -119,32 +119,32 @@
         "on=enabled listen reach=advertised_address electors=acceptors seeds reserve=reserved_fraction "
         "most=max_members burst lend=lendable_fraction resource=resources trace",
     ),
-    script.WorkerTypeSpec: ("script-kind", "name share cores speed"),
-    script.FleetSpec: ("script-fleet", "dispatchers workers zones pod kinds"),
-    script.WorkerSpec: (
+    scenarios.WorkerTypeSpec: ("script-kind", "name share cores speed"),
+    scenarios.FleetSpec: ("script-fleet", "dispatchers workers zones pod kinds"),
+    scenarios.WorkerSpec: (
         "script-worker",
         "queue cold_from cold_for fall_factor fall_for spread pause_every pause error_rate handshake "
         "connections idle_close progress early twice call_tries call_gap cancels hands_back",
     ),
-    script.SharedCapacitySpec: ("script-shared", "capacity"),
-    script.DiscoverySpec: ("script-roster", "notice add spread whole call call_waits ask_within"),
-    script.ClientSpec: ("script-clients", "load retries backoff honours impatient bodies"),
-    script.ServiceClassSpec: (
+    scenarios.SharedCapacitySpec: ("script-shared", "capacity"),
+    scenarios.DiscoverySpec: ("script-roster", "notice add spread whole call call_waits ask_within"),
+    scenarios.ClientSpec: ("script-clients", "load retries backoff honours impatient bodies"),
+    scenarios.ServiceClassSpec: (
         "script-grade",
         "name share work sigma width soft stretch limit revenue late effect memory holds",
     ),
-    script.NetworkSpec: ("script-network", "same cross client jitter shred"),
-    script.LoadBalancerSpec: ("script-front", "notice check"),
-    script.DurableSpec: (
+    scenarios.NetworkSpec: ("script-network", "same cross client jitter shred"),
+    scenarios.LoadBalancerSpec: ("script-front", "notice check"),
+    scenarios.DurableSpec: (
         "script-durable",
         "on grades asks limit start_within beat_within sync segment_kb zeros",
     ),
-    script.DispatcherSpec: (
+    scenarios.DispatcherSpec: (
         "script-dispatcher",
         "dispatches drain_grace longest_advice connect sockets memory_mb settings",
     ),
-    script.FaultSpec: ("script-incident", "at length what whom factor share gap point spread"),
-    script.Scenario: (
+    scenarios.FaultSpec: ("script-incident", "at length what whom factor share gap point spread"),
+    scenarios.Scenario: (
         "script",
         "name says seed length fleet worker shared roster clients network front dispatcher durable "
         "grade tenant accord incident",
@@ -183,26 +183,26 @@
         "list-update",
         "version whole=is_snapshot entries addresses unclear=unreadable faults",
     ),
-    AccordTerms: (
+    ClusterConfig: (
         "accord-terms",
         "who=member_id address electors=acceptors seeds budgets=quotas reserve=reserved_fraction "
         "most=max_members seed=random_seed lend=lendable_fraction ledger=fairness",
     ),
     QuotaSpec: ("budget", "name rate burst lends=lendable"),
-    LedgerTerms: ("ledger-terms", "resources weights needs each=worker_capacity longest=max_job_time"),
-    JobTerms: (
+    FairnessConfig: ("ledger-terms", "resources weights needs each=worker_capacity longest=max_job_time"),
+    JobConfig: (
         "job-terms",
         "grades=service_classes limit=detached_timeout keep=retention most_open=max_open_jobs "
         "pace=resume_rate leases",
     ),
-    LeaseTerms: ("lease-terms", "start_within=start_timeout beat_within=heartbeat_timeout"),
+    LeaseConfig: ("lease-terms", "start_within=start_timeout beat_within=heartbeat_timeout"),
 }
-# What differs at each start, and what a description may say anew.
+# Fields that differ at each start, and a description that may be reworded.
 LEFT_OUT: dict[type, frozenset[str]] = {
-    AccordTerms: frozenset({"who", "seed"}),
-    script.Scenario: frozenset({"says"}),
+    ClusterConfig: frozenset({"who", "seed"}),
+    scenarios.Scenario: frozenset({"says"}),
 }
-# The scheduler's configuration: a stable label of each section, in the program's order.
+# A stable label of each section of the scheduler's configuration, in the program's order.
 SECTIONS = (
     "step",
     "fleet",
@@ -216,7 +216,7 @@
     "signs",
     "prices",
 )
-# Constants of the program, once they are no plain words any more.
+# The stable word for each member of an enum of the program.
 WORDS: dict[Enum, str] = {
     Effect.IDEMPOTENT: "reissuable",
     Effect.IDEMPOTENT_WITH_KEY: "numbered",
@@ -239,67 +239,67 @@
 
 
 def parse_start(path: Path) -> dict[str, Any]:
-    """The platform's JSON: alone, with every variable set, and read again at a reload."""
-    alone = {"GW_CONFIG": str(path)}
-    variables = alone | {"GW_NAME": "other", "GW_LISTEN": "127.0.0.9:1", "GW_DISCOVERY": "127.0.0.9:2"}
-    begun = start.read_start(alone)
+    """Parse the platform's JSON: without variables, with every variable set, and again as at a reload."""
+    file_only = {"GW_CONFIG": str(path)}
+    variables = file_only | {"GW_NAME": "other", "GW_LISTEN": "127.0.0.9:1", "GW_DISCOVERY": "127.0.0.9:2"}
+    parsed_start = start.read_start(file_only)
     return {
-        "start": begun,
+        "start": parsed_start,
         "with variables": start.read_start(variables),
         "again": start.read_start(variables, is_reload=True),
-        "known list": discovery.read(begun.cached_endpoints, "known"),
+        "known list": discovery.read(parsed_start.cached_endpoints, "known"),
     }
 
 
 def parse_installation(path: Path) -> dict[str, Any]:
     parsed = load_installation(path)
-    begun = start_from_installation(parsed, 5)
+    parsed_start = start_from_installation(parsed, 5)
     return {
         "installation": parsed,
-        "start": begun,
-        "known list": discovery.read(begun.cached_endpoints, "known"),
-        "durable": durable_terms(parsed.durable_jobs),
-        "accord": accord_terms(parsed),
+        "start": parsed_start,
+        "known list": discovery.read(parsed_start.cached_endpoints, "known"),
+        "durable": job_config(parsed.durable_jobs),
+        "accord": cluster_config(parsed),
     }
 
 
 def parse_scenario(path: Path) -> dict[str, Any]:
-    """A script, and what its dispatchers are started with by it."""
-    parsed = script.load(path)
+    """Parse a scenario, and the configuration that its dispatchers start with."""
+    parsed = scenarios.load(path)
     known = {"rev": 0, "all": True, "targets": []}
-    config = told.config(parsed, 1, "127.0.0.1:7070", "127.0.0.1:8500", known)
-    found = {
+    config = rendered_config.config(parsed, 1, "127.0.0.1:7070", "127.0.0.1:8500", known)
+    parts = {
         "script": parsed,
         "start": start.start_from_document(JsonObject(config), {}),
-        "kinds": [kind.name for kind in script.assign_worker_types(parsed)],
-        "whom": [named(parsed, incident) for incident in parsed.incident],
+        "kinds": [kind.name for kind in scenarios.assign_worker_types(parsed)],
+        "whom": [find_targets(parsed, fault) for fault in parsed.incident],
     }
     if parsed.durable.on:
-        found["durable"] = told.durable(parsed)
+        parts["durable"] = rendered_config.durable(parsed)
     if parsed.accord.on:
-        places = [f"127.0.0.1:{7100 + number}" for number in range(parsed.fleet.dispatchers)]
-        agreed = told.agreed(parsed, places[0], "", places, "")
-        found["agreed"] = agreed
-        found["accord"] = accord_terms(told.installation(parsed, "d0", agreed))
-    return found
+        addresses = [f"127.0.0.1:{7100 + number}" for number in range(parsed.fleet.dispatchers)]
+        cluster_section = rendered_config.agreed(parsed, addresses[0], "", addresses, "")
+        parts["agreed"] = cluster_section
+        parts["accord"] = cluster_config(rendered_config.installation(parsed, "d0", cluster_section))
+    return parts
 
 
-def named(parsed: script.Scenario, incident: script.FaultSpec) -> Any:
-    """Whom an incident concerns; None for those that concern nobody by name."""
+def find_targets(parsed: scenarios.Scenario, fault: scenarios.FaultSpec) -> Any:
+    """Return the targets of a fault; None where it names none."""
     try:
-        return script.whom(parsed, incident)
+        return scenarios.whom(parsed, fault)
     except ValueError:
         return None
 
 
 def parse_wire_start(path: Path) -> dict[str, Any]:
-    """The simulator's start messages, a line each."""
-    found = []
+    """Parse the simulator's start messages, one a line."""
+    starts = []
     for line in path.read_text(encoding="utf-8").splitlines():
         message, fields = wire_line.parse_line(line)
         config = decoding.decode_config(fields["Config"])
-        found.append([message, wire_line.read_integer(fields, "RngSeed"), sections(config)])
-    return {"starts": found}
+        starts.append([message, wire_line.read_integer(fields, "RngSeed"), sections(config)])
+    return {"starts": starts}
 
 
 def parse_wire_list(path: Path) -> dict[str, Any]:
@@ -309,10 +309,10 @@
 
 
 def parse_embedded(_: Path) -> dict[str, Any]:
-    return {"script": script.embedded()}
+    return {"script": scenarios.embedded()}
 
 
-# --- the comparison: nothing below here changes in a renaming
+# --- the comparison: a rename in the program changes nothing below
 
 PARSERS: dict[str, Callable[[Path], dict[str, Any]]] = {
     "starts": parse_start,
@@ -323,13 +323,13 @@
 
 
 def attributes(shape: str) -> list[tuple[str, str]]:
-    """Pairs of label and attribute."""
+    """Return pairs of label and attribute."""
     pairs = [word.partition("=") for word in shape.split()]
     return [(label, attribute or label) for label, _, attribute in pairs]
 
 
 def rendered(value: Any) -> Any:
-    """Plain data; floats and whole numbers stay apart, as JSON text shows them."""
+    """Return plain data; floats and whole numbers remain distinct, as in JSON text."""
     if type(value) in SHAPES:
         return rendered_fields(value)
     if isinstance(value, Enum):
--- a/tests/test_references.py
+++ b/tests/test_references.py
@@ -1,4 +1,4 @@
-"""What comments and pages name exists: tests, and files of the repository."""
+"""Tests and files of the repository that comments and pages name have to exist."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 PAGES = ["README.md", "CONTRIBUTING.md", "docs/architecture.md", "docs/capacity.md", "docs/oncall.md"]
 PAGES += ["docs/design/endings.md", "docs/design/serving.md"]
-#: A test in words, not a module: `test_x` outside a path and without a suffix.
+#: The name of a test in a text: `test_x` outside a path and without a file suffix.
 NAMED_TEST = re.compile(r"(?<![/\w.])test_\w+(?![\w./])")
 NAMED_FILE = re.compile(r"(?<![\w/.-])(?:tests|docs|deploy)/[\w/-]+\.(?:py|md|toml)")
 
@@ -29,10 +29,10 @@
 
 
 def test_each_test_that_code_or_a_page_names_exists() -> None:
-    """A guard named the test that holds it, and the test was renamed.
+    """A comment on a guard named the test that covers it, and the test was renamed.
 
-    Whoever meets the guard at night looks for a test that is not there and cannot tell whether anything holds
-    it. Each name has to be that of a test.
+    An operator in an incident then looks for a test that does not exist, and cannot tell whether the guard is
+    covered. Each name must be that of a test.
     """
     known = defined_tests()
     missing = {
