--- a/locktide/protocol/discovery.py
+++ b/locktide/protocol/discovery.py
@@ -21,7 +21,7 @@
 #: in use stays, as dropping most workers would stop the traffic.
 MAX_MALFORMED_FRACTION = 0.5
 
-#: What stands for the path of a list that discovery has sent in error messages.
+#: Path that error messages give for a list that discovery has sent.
 RESPONSE_PATH = "list"
 
 
--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -13,5 +13,5 @@
 
 
 def list_body(*entries: Any, version: int = 3) -> bytes:
-    """Return the body of discovery's response with a whole list."""
+    """Return the body of discovery's response that has a snapshot of the list."""
     return json.dumps({"rev": version, "all": True, "targets": entries}).encode()
--- a/tests/protocol/test_server_connection.py
+++ b/tests/protocol/test_server_connection.py
@@ -170,10 +170,10 @@
     In the second case a request could be hidden in the body of another, and run without the checks of the
     first. Each must be rejected with the 4xx of its fault, and no part of it may become a request.
     """
-    found, written = exchange_messages(data)
-    assert isinstance(found[0], BadRequest) and found[0].status == status
+    messages, written = exchange_messages(data)
+    assert isinstance(messages[0], BadRequest) and messages[0].status == status
     assert written.startswith(b"HTTP/1.1 %d " % status)
-    assert not any(isinstance(message, SubmitRequest) for message in found)
+    assert not any(isinstance(message, SubmitRequest) for message in messages)
 
 
 def test_head_request_gets_the_header_of_its_response_alone() -> None:
@@ -182,8 +182,8 @@
     A body after the header would be read as the beginning of the next response.
     """
     head = b"HEAD /health/ready HTTP/1.1\r\nHost: us\r\n\r\n"
-    found, written = exchange_messages(head + head)
-    assert found == [HealthQuery(ready=True)] * 2
+    messages, written = exchange_messages(head + head)
+    assert messages == [HealthQuery(ready=True)] * 2
     assert written.count(b"HTTP/1.1 200") == 2 and written.count(b"Content-Length: 3") == 2
     assert b"so" not in written
 
@@ -216,8 +216,8 @@
 
 
 def test_body_of_64_kib_is_accepted() -> None:
-    found, _ = exchange_messages(submit(body=b"x" * 65_536))
-    assert isinstance(found[0], SubmitRequest) and len(found[0].body) == 65_536
+    messages, _ = exchange_messages(submit(body=b"x" * 65_536))
+    assert isinstance(messages[0], SubmitRequest) and len(messages[0].body) == 65_536
 
 
 def test_final_callback_states_end_an_attempt_with_their_outcome() -> None:
@@ -228,9 +228,9 @@
         ("lost", AttemptOutcome.RESET),
     ]
     for state, outcome in ends:
-        found, _ = exchange_messages(call(id="a", **{"from": "w"}, state=state, result="r\u00e9\n"))
+        messages, _ = exchange_messages(call(id="a", **{"from": "w"}, state=state, result="r\u00e9\n"))
         result = "r\u00e9\n".encode() if state == "done" else b""
-        assert found == [Callback("a", "w", state, 0.0, outcome, result)]
+        assert messages == [Callback("a", "w", state, 0.0, outcome, result)]
 
 
 @pytest.mark.parametrize("share", ["NaN", "-3", "1e999", "1" + 400 * "0", '"half"', "null", "{}"])
--- a/tests/test_light.py
+++ b/tests/test_light.py
@@ -9,8 +9,8 @@
 import sys
 before = set(sys.modules)
 import locktide.__main__
-found = {name.partition('.')[0] for name in set(sys.modules) - before}
-print(*sorted(name for name in found if name not in sys.stdlib_module_names))
+imported = {name.partition('.')[0] for name in set(sys.modules) - before}
+print(*sorted(name for name in imported if name not in sys.stdlib_module_names))
 """
 
 
