--- a/locktide/protocol/header_fields.py
+++ b/locktide/protocol/header_fields.py
@@ -47,7 +47,7 @@
     for raw_name, value in head.headers:
         name = raw_name.decode("ascii")
         if name in UNIQUE_FIELDS and name in fields:
-            raise RejectedMessageError(HTTPStatus.BAD_REQUEST, f"{name} is given twice")
+            raise RejectedMessageError(HTTPStatus.BAD_REQUEST, f"{name} is told twice")
         fields[name] = value.decode("latin-1")
     return fields
 
--- a/locktide/protocol/request_framing.py
+++ b/locktide/protocol/request_framing.py
@@ -24,7 +24,7 @@
     is_coded_in_http_1_0 = framing_fields == [TRANSFER_ENCODING] and head.http_version < b"1.1"
     if len(framing_fields) > 1 or is_coded_in_http_1_0:
         raise RejectedMessageError(
-            HTTPStatus.BAD_REQUEST, "the length of the body is stated in two ways", is_final=True
+            HTTPStatus.BAD_REQUEST, "the length of the body is told in two ways", is_final=True
         )
     for name, value in head.headers:
         if name == CONTENT_LENGTH:
--- a/locktide/protocol/request_router.py
+++ b/locktide/protocol/request_router.py
@@ -65,7 +65,7 @@
             # that the stated length is too short: they are part of this body, and must not be parsed as a
             # request.
             raise RejectedMessageError(
-                HTTPStatus.BAD_REQUEST, "more bytes follow before the response", is_final=True
+                HTTPStatus.BAD_REQUEST, "something follows before the answer", is_final=True
             )
         return self._submission_parser.parse(head, fields, bytes(body), service_class)
 
--- a/locktide/protocol/submissions.py
+++ b/locktide/protocol/submissions.py
@@ -90,7 +90,7 @@
     """Return the request id; raise RejectedMessageError where it is missing or malformed."""
     request_id = fields.get(names.REQUEST_ID.lower(), "")
     if not IDENTIFIER_PATTERN.fullmatch(request_id):
-        raise _bad_request(f"{names.REQUEST_ID} is missing or malformed")
+        raise _bad_request(f"{names.REQUEST_ID} is missing or not an id")
     return request_id
 
 
@@ -102,7 +102,7 @@
     number, unit = match.groups()
     timeout = round(float(number) * MICROSECONDS_BY_UNIT[unit])
     if not 0 < timeout <= MAX_TIMEOUT_FACTOR * class_timeout:
-        raise _bad_request(f"{names.TIMEOUT}: the time is zero, or far over that of the grade")
+        raise _bad_request(f"{names.TIMEOUT}: no time at all, or far over that of the grade")
     return timeout
 
 
@@ -112,7 +112,7 @@
     if key is None and not is_required:
         return
     if not IDENTIFIER_PATTERN.fullmatch(key or ""):
-        raise _bad_request(f"{names.IDEMPOTENCY_KEY} is missing or malformed")
+        raise _bad_request(f"{names.IDEMPOTENCY_KEY} is missing or not a number")
 
 
 def parse_extra_pairs(fields: Mapping[str, str]) -> list[tuple[str, str]]:
