--- a/tests/scheduler/test_affinity.py
+++ b/tests/scheduler/test_affinity.py
@@ -1,4 +1,4 @@
-"""Which endpoints a request with an affinity key is drawn among."""
+"""Affinity: the endpoints among which a request with an affinity key is drawn."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from locktide.scheduler.state import ActiveConfig, Clock, Endpoint, EndpointTable, FleetEstimates, Request
 
 KEY = 7
-#: The usual run of "view" while no end is known: its latency objective, in microseconds.
+#: The usual run time of "view" while no completed run is known: its latency objective, in microseconds.
 USUAL_RUN = 250_000
 
 
 class Routing:
-    """Twenty endpoints, and a request with a key that arrives at moment 0."""
+    """Twenty endpoints, and a request with a key that arrives at time 0."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -35,19 +35,19 @@
         self.request = Request(RequestArrived(1, "view", 3_000_000), GRADES[0], 0, 1)
 
     def select_endpoints(self, now: int = 0) -> list[Endpoint]:
-        """Return the endpoints that the request is drawn among at this moment."""
+        """Return the endpoints among which the request is drawn at this time."""
         self.clock.now = now
         return self.router.select_endpoints(self.request, KEY, self.endpoints.candidates[None])
 
 
 def test_the_first_key_after_a_restart_has_a_few_endpoints() -> None:
-    """The first key that a dispatcher saw had all of its requests, and was drawn among the whole fleet.
+    """The first key that a dispatcher saw had a share of all its requests, and was sent to the whole fleet.
 
-    Every worker then fetched what the key needs. Five requests of other keys count beside its own.
+    Every worker then fetched the data of the key. Five assumed requests of other keys reduce its share.
     """
     routing = Routing()
     routing.frequencies.count(KEY, 0)
-    assert len(routing.select_endpoints()) == 5  # half as many again as a sixth of twenty
+    assert len(routing.select_endpoints()) == 5  # 1.5 times one sixth of twenty
 
 
 @pytest.mark.parametrize(("runs_waited", "count"), [(0.0, 2), (0.5, 4), (1.0, 8), (5.0, 20)])
@@ -57,10 +57,10 @@
 
 
 def test_a_crowded_endpoint_of_a_key_is_passed_over_and_not_replaced() -> None:
-    """In an overload the crowded endpoints of a key were replaced by the next of its order.
+    """In an overload the crowded endpoints of a key were replaced by the next ones in its order.
 
-    Each key reached ever new workers, which all fetched what it needs, and runs grew until the fleet stood
-    still. A crowded endpoint gets no request, but it counts among those of the key.
+    Each key was sent to more and more workers, which all fetched its data, and run times grew until the fleet
+    made no progress. A crowded endpoint is sent no request, but still counts as one of the key's endpoints.
     """
     routing = Routing()
     first, second = routing.select_endpoints()
--- a/tests/scheduler/test_capacity_page.py
+++ b/tests/scheduler/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""The capacity page names each constant of the decision core, and none that is gone."""
+"""The capacity page lists each constant of the scheduler, and no constant that does not exist."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 def names_on_the_page() -> set[str]:
-    """Return the constants that the first cell of a row names."""
+    """Return the names of constants in the first cells of the rows."""
     first_cells = [line.split("|")[1] for line in PAGE.read_text().splitlines() if line.startswith("| ")]
     return {name for cell in first_cells for name in ROW_NAMES.findall(cell)}
 
 
 def constants_of_the_scheduler() -> set[str]:
-    """Return the numbers with a name in the modules that decide, estimate or hold state."""
+    """Return the names of numeric constants in the modules of policy, estimators and state."""
     found: set[str] = set()
     for package in ("policy", "estimators", "state"):
         path = f"{locktide.scheduler.__path__[0]}/{package}"
@@ -32,12 +32,11 @@
 
 
 def test_the_page_has_a_row_for_each_constant_and_for_nothing_else() -> None:
-    """A constant was renamed, and its row went on to describe a name that nobody finds in the code.
+    """A constant was renamed, but its row on the capacity page kept the old name.
 
-    Whoever wants to change a number at night looks for its row first: what was tried, and with what result.
-    Each constant must have its row, and each row its constant; the share that the dispatcher sets is in
-    another package.
+    Operators look up a constant there before they change it: which values were tested, and with what result.
+    Each constant must have a row and each row a constant. `SLOW_START_MARGIN` is defined in another package.
     """
     settings = {"SLOW_START_MARGIN"}
-    elsewhere = {"TRACEBACK_LINES"}  # how much of a traceback is reported; it decides nothing
+    elsewhere = {"TRACEBACK_LINES"}  # length of reported tracebacks; no decision depends on it
     assert names_on_the_page() - settings == constants_of_the_scheduler() - elsewhere
--- a/tests/scheduler/test_concurrency_limit.py
+++ b/tests/scheduler/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint has capacity by our limit, and how small the limit may get."""
+"""Concurrency limit: whether an endpoint has capacity, and the minimum of its limit."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @pytest.mark.parametrize(("waited", "expected"), [(50_000, True), (70_000, False)])
 def test_an_endpoint_with_an_attempt_that_waits_too_long_has_no_capacity(waited: int, expected: bool) -> None:
-    """A worker had gone silent, and requests were sent to it until its limit was full; none started.
+    """A worker did not respond any more; requests were sent to it up to its limit, and none of them started.
 
-    An attempt that has not started within a quarter of the shortest latency objective, here 62.5 ms, shows
-    the queue or the silence before it has an outcome. Nothing may be sent behind it, though the limit allows
-    it.
+    An attempt that has not started within a quarter of the shortest latency objective, here 62.5 ms, reveals
+    the problem before its outcome does. Until it starts or ends, nothing else may be sent there, even if the
+    limit allows it.
     """
     checked = Checked()
     checked.list(listed("w"))
@@ -32,10 +32,10 @@
 def test_limits_fall_under_one_request_only_where_no_rating_tells_load(
     has_ratings: bool, minimum: float
 ) -> None:
-    """Dispatchers stayed away from workers though the ratings stated that they were free.
+    """Dispatchers paused between requests to workers although the ratings showed that these were free.
 
-    Without ratings a limit under one keeps many dispatchers from overfilling each worker. Where ratings tell
-    what the others send, it would only leave workers idle.
+    Without ratings, a limit under one prevents many dispatchers from overfilling each worker. With ratings,
+    which show the load from other dispatchers, such a limit would only leave workers idle.
     """
     checked = Checked(fleet=200, live=has_ratings)
     assert checked.dispatcher.limiter.minimum() == pytest.approx(minimum)
@@ -45,10 +45,10 @@
 def test_an_attempt_cancelled_before_its_start_is_late_does_not_cut_the_limit(
     waited: int, is_cut: bool
 ) -> None:
-    """Clients gave up early, one after another, and the limits of sound workers fell by a quarter each time.
+    """Clients disconnected early, and each time the limit of a healthy worker fell by a quarter.
 
-    An attempt that is cancelled within 62.5 ms says nothing about its worker. One that has waited for longer
-    without a start shows a queue, whoever ends it.
+    An attempt that is cancelled within 62.5 ms says nothing about its worker. An attempt that has waited
+    longer without a start shows a queue, even if it is cancelled.
     """
     checked = Checked(fleet=1)
     checked.list(listed("w"))
@@ -57,7 +57,7 @@
     checked.arrive(1, "record")
     checked.pass_time(waited)
     checked.turn(ClientDisconnected(1))
-    checked.pass_time(300_000)  # the worker's reply to the cancellation takes its time
+    checked.pass_time(300_000)  # the worker confirms the cancellation late
     checked.end(1, 0, AttemptOutcome.CANCELLED)
     assert (endpoint.concurrency_limit < 8.0) == is_cut
     assert not endpoint.unstarted
--- a/tests/scheduler/test_config.py
+++ b/tests/scheduler/test_config.py
@@ -1,4 +1,4 @@
-"""The scheduler's configuration: typed sections that nobody modifies."""
+"""The scheduler's configuration: typed, immutable sections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from locktide.scheduler.config import SchedulerConfig
 
 
-def test_sections_stand_in_the_order_in_which_hosts_and_tests_give_them() -> None:
+def test_sections_are_declared_in_the_order_in_which_hosts_pass_them() -> None:
     assert [field.name for field in fields(SchedulerConfig)] == [
         "round_interval",
         "dispatcher_count",
--- a/tests/scheduler/test_decaying_sum.py
+++ b/tests/scheduler/test_decaying_sum.py
@@ -1,4 +1,4 @@
-"""A sum that decays by 1/e in each span."""
+"""Decaying sum: decays to 1/e of its value in each span."""
 
 from __future__ import annotations
 
--- a/tests/scheduler/test_key_frequencies.py
+++ b/tests/scheduler/test_key_frequencies.py
@@ -1,4 +1,4 @@
-"""How often each affinity key is requested."""
+"""Key frequencies: how often each affinity key is requested."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def test_a_share_counts_all_requests_and_the_others_beside_them() -> None:
-    """After a restart the first key that came had all of what was seen, and with it every worker.
+    """After a restart the first key had a share of all requests, and so was sent to every worker.
 
-    Its requests then spread over the fleet and each worker fetched what the key needs. Requests of other keys
-    count beside the observed ones, so that the first key of a dispatcher has a small share.
+    Its requests spread over the fleet, and each worker fetched the data of the key. Assumed requests of other
+    keys are added to the observed ones, so that the first key of a dispatcher has a small share.
     """
     frequencies = KeyFrequencies()
     for key in (1, 1, 1, 2):
@@ -19,10 +19,10 @@
 
 
 def test_keys_are_forgotten_once_there_are_too_many() -> None:
-    """A client sends each request with a key of its own.
+    """A client sends each request with a different key.
 
-    A count for each would grow with the requests until the process is out of memory. The number of counted
-    keys is bounded: past it the counts begin anew.
+    The counts of all these keys would use up the memory of the process. The number of counted keys is
+    limited: beyond it all counts are reset.
     """
     frequencies = KeyFrequencies()
     for key in range(MAX_KEYS):
--- a/tests/scheduler/test_list_update.py
+++ b/tests/scheduler/test_list_update.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list, merged into the known endpoints."""
+"""Merging updates of the endpoint list into the known endpoints."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     assert endpoints["w"].concurrency_limit == 2.0
 
 
-def test_what_a_whole_list_does_not_name_is_gone() -> None:
+def test_endpoints_missing_from_a_complete_list_are_gone() -> None:
     endpoints: dict[str, Endpoint] = {}
     merge_update(endpoints, EndpointListUpdate(ListUpdateKind.SNAPSHOT, [listed("a"), listed("b")]), 1.0)
     merge_update(endpoints, EndpointListUpdate(ListUpdateKind.DELTA, [listed("a")]), 1.0)
@@ -33,11 +33,11 @@
 
 
 @pytest.mark.parametrize(("changed", "zone"), [({"cell": 4}, "zone-4"), ({"kind": "crate"}, "zone-0")])
-def test_a_delta_that_changes_only_where_or_what_a_worker_is_counts(changed: Any, zone: str) -> None:
-    """An operator corrected the zone, cell or type of a worker in the endpoint list, without a restart.
+def test_a_delta_that_changes_only_the_zone_cell_or_type_is_applied(changed: Any, zone: str) -> None:
+    """An operator corrected the zone, cell or type of a worker in the endpoint list without a restart.
 
-    The change was dropped: requests bound to that zone or type went on to other workers, or to this one
-    though it was no more of theirs, until the worker restarted.
+    The change was dropped. Until the worker restarted, requests confined to the new zone or type were not
+    sent to it, and requests confined to the former ones still were.
     """
     endpoints: dict[str, Endpoint] = {}
     merge_update(endpoints, EndpointListUpdate(ListUpdateKind.DELTA, [listed("w")]), 1.0)
@@ -46,4 +46,4 @@
     worker = endpoints["w"]
     assert (worker.zone, worker.cell) == (zone, changed.get("cell", 0))
     assert worker.worker_type == changed.get("kind", "box")
-    assert merge_update(endpoints, update, 1.0) == (False, []), "nothing has changed any more"
+    assert merge_update(endpoints, update, 1.0) == (False, []), "the same update again changes nothing"
--- a/tests/scheduler/test_load_ratings.py
+++ b/tests/scheduler/test_load_ratings.py
@@ -1,4 +1,4 @@
-"""Load ratings: draws weighted by them, stale ones, and what else depends on whether load is known."""
+"""Load ratings: weighted draws, stale ratings, and what else depends on knowledge of load."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
     SuspicionReason,
 )
 
-#: Rating of a worker that holds nothing.
+#: Rating of an idle worker.
 IDLE = 8.0
 
 
 def rated(ratings: dict[str, float], **started_at: int) -> list[EndpointEntry]:
-    """Return list entries with these ratings; `started_at` gives when some of the workers were started."""
+    """Return list entries with these ratings; `started_at` gives the start times of some workers."""
     return [
         listed(name, rating=rating, started_at=started_at.get(name, 0)) for name, rating in ratings.items()
     ]
 
 
 def first_draws(ratings: dict[str, float], dispatchers: int = 400, **started_at: int) -> Counter[str]:
-    """Return how many dispatchers, which all have the same ratings, send their first request to each."""
+    """Return how many dispatchers, all with the same ratings, send their first request to each worker."""
     drawn: Counter[str] = Counter()
     for seed in range(dispatchers):
         checked = Checked(seed, fleet=dispatchers, live=True)
@@ -46,13 +46,13 @@
 
 
 def test_dispatchers_with_the_same_ratings_draw_in_proportion_to_what_is_free() -> None:
-    """Every dispatcher has the same ratings, about a second late, and one worker is idle.
+    """All dispatchers have the same ratings, about a second late, and one worker is idle.
 
-    If each chose the best rating, the idle worker would be sent everything that comes within that second. It
-    has to be drawn more often than a busy one, and the others still have to be drawn.
+    If each dispatcher chose the best rating, the idle worker would be sent all requests of that second. The
+    idle worker must be drawn more often than a busy one, but the others must be drawn as well.
     """
     drawn = first_draws({f"w{number}": IDLE / 2 for number in range(9)} | {"w9": IDLE})
-    # The idle worker has eight times the weight of one with each core taken.
+    # The idle worker has eight times the weight of a worker with one request per core.
     assert 0.35 < drawn["w9"] / 400 < 0.6 and len(drawn) == 10
 
 
@@ -79,7 +79,7 @@
         self.checked.list(*rated(self.ratings), kind=ListUpdateKind.DELTA)
 
     def renew(self, *left_out: str) -> list[Command]:
-        """Renew all ratings but those left out; return the commands that follow."""
+        """Renew all ratings except those left out; return the resulting commands."""
         for name in self.ratings:
             self.ratings[name] += 0.01
         self.checked.pass_time(700_000)
@@ -87,7 +87,7 @@
         return self.checked.list(*rated(renewed), kind=ListUpdateKind.DELTA)
 
     def first_workers(self, first: int, count: int = 40) -> set[str]:
-        """Return which workers as many at-most-once requests are sent to; their ids begin with `first`."""
+        """Send `count` at-most-once requests with ids from `first` on; return the workers that got them."""
         for request in range(first, first + count):
             self.checked.arrive(request, "cash")
             self.checked.pass_time(2 * STEP)
@@ -100,9 +100,9 @@
 def test_a_worker_with_a_stale_rating_gets_no_at_most_once_request_until_it_is_renewed() -> None:
     """Workers that hung were sent 80 to 109 attempts in 7 s, as many as the others.
 
-    A hung worker runs nothing and reports nothing, so its rating stays at what it was when it still had free
-    cores, and it is drawn on. A rating that is not renewed while most are has to make its worker suspected,
-    and the next renewal has to clear it.
+    The rating of a hung worker stays at its last value, from when it still had free cores, so the worker
+    continues to be drawn. A rating that does not change while most others do must make its worker suspected,
+    and the next change must clear it.
     """
     workers = RenewedRatings()
     assert workers.first_workers(0) == set(workers.ratings)
@@ -113,10 +113,10 @@
 
 
 def test_an_update_without_new_ratings_suspects_no_worker() -> None:
-    """After a reload the list was sent as a whole, with nothing new in it, and counted as a renewal of all.
+    """After a reload the complete list was sent without any change, and counted as a renewal of all ratings.
 
-    With two such lists each busy worker would have been suspected. Only an update that renews most ratings
-    says something about a rating that it does not renew.
+    Two such lists would have made each busy worker suspected. Only an update that changes most ratings may
+    count against a worker whose rating it does not change.
     """
     checked = Checked(live=True)
     checked.list(*rated({"w0": IDLE, "w1": IDLE, "w2": IDLE}))
@@ -124,16 +124,16 @@
     for _ in range(5):
         checked.list(kind=ListUpdateKind.DELTA)
         checked.list(listed("w0", rating=4.5), kind=ListUpdateKind.DELTA)
-        checked.list(*rated({"w0": 4.5, "w1": 5.0, "w2": 6.0}))  # a whole list, as after a reload
+        checked.list(*rated({"w0": 4.5, "w1": 5.0, "w2": 6.0}))  # a complete list, as after a reload
     endpoints = checked.dispatcher.endpoints.by_id.values()
     assert not any(is_suspected(endpoint, checked.now) for endpoint in endpoints)
 
 
 def test_a_worker_that_has_just_started_is_drawn_less_often_than_the_others() -> None:
-    """Incident i56200f: 231 dispatchers sent a worker that had just started 4.1 times what it could do.
+    """Incident i56200f: 231 dispatchers sent a newly started worker 4.1 times as much as it could take.
 
-    It held nothing, so by its rating it was drawn ten times as often as the others, by every dispatcher. It
-    has to be drawn as one of all, by its slow-start factor.
+    The worker was idle, so by its rating every dispatcher drew it ten times as often as the others. It must
+    be drawn with the mean weight of the others times its slow-start factor.
     """
     started_at = 10_000_000 - 1_000_000  # a second ago
     ratings = {f"w{number}": 3.5 for number in range(9)} | {"w9": IDLE}
@@ -143,10 +143,10 @@
 
 
 def test_a_single_draw_falls_on_a_warming_worker_by_its_slow_start_factor() -> None:
-    """A worker that has just started holds nothing, so by its rating most draws would fall on it.
+    """A worker that has just started is idle, so by its rating most draws would select it.
 
-    The slow-start budget would refuse them, and the requests would wait though others were free. Whatever its
-    rating, the worker has the mean weight of the others times its factor.
+    The slow-start budget would not allow these requests, and they would wait although other workers were
+    free. Whatever its rating, the worker must have the mean weight of the others times its slow-start factor.
     """
     checked = Checked(live=True)
     ratings = {f"w{number}": 3.5 for number in range(9)} | {"w9": IDLE}
@@ -161,11 +161,10 @@
 
 
 def test_warming_workers_share_the_budget_though_only_one_has_capacity() -> None:
-    """Within 0.45 s of its start 20 attempts reached one worker, 4.2 times what it could do.
+    """Within 0.45 s of its start a worker received 20 attempts, 4.2 times as much as it could take.
 
-    All other warming workers had answered 'full', and the budget of all of them together went to the one that
-    had not. What all dispatchers send it has to stay within what it may get alone, and it has to get
-    something.
+    All other warming workers had responded with "full", so the pooled budget of all of them went to this one.
+    What all dispatchers together send to a worker must stay within its own budget, and must not be zero.
     """
     names = [f"w{number}" for number in range(10)]
     first_attempts: Counter[str] = Counter()
@@ -182,12 +181,12 @@
         checked.pass_time(500_000)
         first_attempts.update(each[0]["worker"] for each in checked.dispatches.values() if each)
     factor = COLD.initial_capacity + (1 - COLD.initial_capacity) * 3 / 8
-    # Attempts of 0.3 s on eight cores, and what the worker may be sent within the window of a second.
+    # Left: the need of attempts of 0.3 s on eight cores. Right: the budget of the worker for one second.
     assert 0 < first_attempts["w0"] * 0.3 / 8 < 0.75 * COLD.overload_factor * factor
 
 
 def workers_of_sixty_requests(connection_cost: float) -> int:
-    """Return how many of ten workers sixty requests are sent to, one after the other."""
+    """Send sixty requests one after the other; return to how many of ten workers they are sent."""
     costs = CostConfig(connection=connection_cost, idle_timeout=5_000_000)
     checked = Checked(live=True, prices=costs)
     checked.list(*rated({f"w{number}": IDLE for number in range(10)}))
@@ -212,15 +211,15 @@
         checked.pass_time(STEP)
         checked.end(request, 0, AttemptOutcome.DONE)
     zones = Counter(checked.dispatches[request][0]["zone"] for request in range(200))
-    # Twice the cost that divides a weight by e: 0.135 of the draws of the own zone.
+    # Twice the cost that divides a weight by e: 0.135 times as many draws as in the own zone.
     assert 10 < zones["zone-1"] < 40
 
 
 def test_requests_that_may_run_anywhere_draw_a_type_with_a_class_of_its_own_a_quarter_as_often() -> None:
-    """A service class that one worker type runs alone waited 0.5 s for its start in a tenth of cases.
+    """One tenth of the requests of a class that only one worker type can run waited 0.5 s for their start.
 
-    It queued behind requests that could have run elsewhere. Those have to leave the type to it, without
-    avoiding it altogether.
+    They queued behind requests that could have run elsewhere. Other requests must be sent to this worker type
+    less often, but not never.
     """
     checked = Checked(live=True)
     exclusive = ServiceClass(
@@ -251,11 +250,11 @@
 
 @pytest.mark.parametrize(("rating", "is_cancelled"), [(IDLE, True), (IDLE / 2, False)])
 def test_a_late_start_is_cancelled_early_only_while_cores_are_free(rating: float, is_cancelled: bool) -> None:
-    """In a saturated fleet a quarter of the attempts were cancelled in their queues, for a retry elsewhere.
+    """In a saturated fleet a quarter of the attempts were cancelled in their queues for a retry elsewhere.
 
-    Seven in ten of the retries were refused as full, and their requests had lost their places. Where no
-    worker has free cores an attempt has to keep its place for the whole slack; where some have, it may move
-    sooner.
+    Seven in ten of the retries were rejected as full, and their requests had lost their places in the queues.
+    If no worker has free cores, an attempt must keep its place for the whole slack; if some have, it may be
+    cancelled earlier.
     """
     checked = Checked(live=True)
     checked.list(*rated({f"w{number}": IDLE for number in range(6)}))
@@ -266,10 +265,10 @@
 
 
 def test_a_request_that_was_refused_as_full_pauses_before_its_next_attempt() -> None:
-    """Of 427 requests that were rejected in an overload 103 had used up all attempts within 0.1 to 0.5 s.
+    """Of 427 requests that were rejected in an overload, 103 had used up all attempts within 0.1 to 0.5 s.
 
-    Every worker was full, and each refusal was followed by the next attempt at once. The attempts that a
-    request may have must be spread over its queue timeout.
+    Every worker was full, and after each "full" the next attempt followed at once. The attempts of a request
+    must be spread over its queue timeout.
     """
     checked = Checked(live=True)
     checked.list(*rated({f"w{number}": IDLE for number in range(6)}))
@@ -282,10 +281,10 @@
 
 
 def test_a_request_without_attempts_left_is_rejected_at_once() -> None:
-    """A request had used up its attempts, and its client waited on for seconds until the deadline.
+    """A request had used up its attempts, but its client got no response until the deadline seconds later.
 
-    Nothing can be done for it any more. It has to be rejected with the outcome of its last attempt, while its
-    client still has time for a retry.
+    The request cannot succeed any more. It must be rejected right after its last attempt, while its client
+    still has time for a retry.
     """
     checked = Checked(live=True)
     checked.list(*rated({f"w{number}": IDLE for number in range(6)}))
@@ -295,4 +294,4 @@
         if attempt < checked.most - 1:
             checked.pass_time(300_000)
     assert [each.request_id for each in commands if isinstance(each, RejectRequest)] == [1]
-    assert checked.arrivals[1].deadline - checked.now > 4_000_000, "its client has long to wait yet"
+    assert checked.arrivals[1].deadline - checked.now > 4_000_000, "the client still has time for a retry"
--- a/tests/scheduler/test_load_shedding.py
+++ b/tests/scheduler/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""When a request is given up, what its client is advised, and what is logged of it."""
+"""Load shedding: when a request is given up, what its client is advised, and what is logged."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def test_a_request_that_fails_anywhere_is_rejected_with_the_longest_advice() -> None:
-    """Clients repeated requests that every worker answered with an error, as fast as they were advised.
+    """Clients kept retrying requests that fail at every worker, as soon as they were advised to.
 
-    An error at a second sound worker shows that the request is at fault. Its client is advised to wait as
-    long as the settings allow, here two seconds.
+    An error at a second healthy worker shows that the request is at fault. Its client must be advised to wait
+    as long as the settings allow, here two seconds.
     """
     checked = Checked()
     checked.list(listed("w0"), listed("w1"), listed("w2"))
@@ -28,10 +28,10 @@
     assert rejections(checked) == [RejectRequest(1, 2_000_000)]
 
 
-def test_the_advice_is_when_the_next_running_request_should_end() -> None:
-    """Clients that were advised to wait for a whole run came back late and took the place of fresh requests.
+def test_the_advised_wait_ends_when_the_next_running_request_should_end() -> None:
+    """Clients that were advised to wait for a whole run time retried late and took the place of new requests.
 
-    With two requests running, whose usual run is 250 ms, the next one should end within half of that.
+    With two running requests and a usual run time of 250 ms, one of them should end within half of that.
     """
     checked = Checked()
     checked.list(listed("w0"), listed("w1"))
@@ -53,10 +53,10 @@
 
 
 def test_a_request_whose_repeats_are_no_longer_dropped_is_answered_at_once() -> None:
-    """A request that may have run waited for a worker of its cell until its deadline, two seconds in vain.
+    """A request that may have run waited for a worker of its cell until its deadline, two seconds too long.
 
-    Past its deduplication window, here 4 s after the first attempt, no repeat may be sent. It has to be
-    answered then, and not before, as a late response is better than none.
+    After its deduplication window, here 4 s after the first attempt, no repeat may be sent. The request must
+    get its response then, and not before, as a late response is better than none.
     """
     checked = Checked()
     checked.list(listed("w0"))
--- a/tests/scheduler/test_log_events.py
+++ b/tests/scheduler/test_log_events.py
@@ -1,4 +1,4 @@
-"""Log events of the scheduler: ids, fields and the line that is made of them."""
+"""Log events of the scheduler: their ids, fields and lines of text."""
 
 from typing import get_args
 
--- a/tests/scheduler/test_messages.py
+++ b/tests/scheduler/test_messages.py
@@ -1,4 +1,4 @@
-"""Events and commands: the unions name every class, and no other."""
+"""Events and commands: the unions contain every class of their modules and no other."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from locktide.scheduler import commands, events
 
-# Parts of events, which do not arrive on their own.
+# Classes that are parts of events, not events themselves.
 PARTS = {events.EndpointEntry, events.RecoveredAttempt, events.QuotaStage}
 
 
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement constraints of service classes, and idle connections that are closed on drains."""
+"""Placement constraints of service classes, and closing of idle connections to draining workers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def confined_config(view: ServiceClass = VIEW, close_idle_within: int = 0) -> SchedulerConfig:
-    """Return a configuration in which the service class "view" is this one."""
+    """Return a configuration with this service class in place of "view"."""
     config = terms(3, 1, False, 0.4)
     return replace(
         config,
@@ -40,7 +40,7 @@
 
 
 def start_with(config: SchedulerConfig, worker: Address) -> start.Start:
-    """Return the start of a dispatcher in front of one worker."""
+    """Return the start parameters of a dispatcher with one worker."""
     return start.Start(
         name="n0",
         listen=worker,
@@ -65,11 +65,11 @@
     ids=["zone", "worker type", "both"],
 )
 def test_a_confined_request_waits_while_no_worker_that_it_may_have_is_ready(view: ServiceClass) -> None:
-    """A request of a confined class was sent to a zone that is not open to it, 0.03 s after the start.
+    """A request of a confined class was sent to a zone that the class excludes, 0.03 s after the start.
 
-    The settings that confine a class were not read, and a draw was made among all ready workers. While no
-    worker that satisfies the constraint is ready the request must wait, beside others that are sent, and be
-    sent to such a worker alone once one is ready.
+    The settings that confine a class were not read, and the draw was made among all ready workers. While no
+    worker that satisfies the constraint is ready, the request must wait, although other requests are sent.
+    Once such a worker is ready, the request must be sent there.
     """
     checked = Checked()
     checked.turn(ConfigReloaded(confined_config(view)))
@@ -86,16 +86,17 @@
 
 
 def test_idle_connections_are_closed_when_a_drain_is_notified_and_after_each_end_there() -> None:
-    """A worker drained, and connections of ours to it stayed open past the time that the settings allow.
+    """A worker was draining, and our idle connections to it stayed open longer than the settings allow.
 
-    What was idle at the notice, and what became idle when an attempt there ended, both have to be closed.
+    Connections that are idle when the drain is notified must be closed, and so must connections that become
+    idle when an attempt there ends.
     """
     checked = Checked()
     checked.turn(ConfigReloaded(confined_config(close_idle_within=100_000)))
     checked.list(listed("w0"))
     checked.arrive(1, "view")
-    at_notice = checked.list(listed("w0", state=EndpointState.DRAINING), kind=ListUpdateKind.DELTA)
-    assert CloseIdleConnections("w0") in at_notice
+    commands = checked.list(listed("w0", state=EndpointState.DRAINING), kind=ListUpdateKind.DELTA)
+    assert CloseIdleConnections("w0") in commands
     assert CloseIdleConnections("w0") in checked.end(1, 0, AttemptOutcome.DONE)
     assert encode_commands([CloseIdleConnections("w0")]) == ["CLOSE Worker=w0"]
 
@@ -104,17 +105,18 @@
     checked = Checked()
     checked.list(listed("w0"))
     checked.arrive(1, "view")
-    at_notice = checked.list(listed("w0", state=EndpointState.DRAINING), kind=ListUpdateKind.DELTA)
-    assert CloseIdleConnections("w0") not in at_notice
+    commands = checked.list(listed("w0", state=EndpointState.DRAINING), kind=ListUpdateKind.DELTA)
+    assert CloseIdleConnections("w0") not in commands
     assert CloseIdleConnections("w0") not in checked.end(1, 0, AttemptOutcome.DONE)
 
 
 @pytest.mark.parametrize("ends_late", [False, True])
 def test_a_connection_to_a_draining_worker_is_closed_in_time(ends_late: bool) -> None:
-    """A worker is notified as draining while a connection to it is idle, or still has an attempt on it.
+    """A worker is listed as draining while a connection to it is idle or has an attempt in progress.
 
-    The draining worker waits for its connections to be closed before it stops. An idle one has to be closed
-    at the notice, one with an attempt right after the outcome of that attempt, and not before.
+    A draining worker waits until its connections are closed before it stops. An idle connection must be
+    closed when the drain is notified, a connection with an attempt right after the outcome of the attempt,
+    and not before.
     """
 
     async def run() -> None:
@@ -146,7 +148,7 @@
         notified_at = loop.time()
         if ends_late:
             await asyncio.sleep(0.05)
-            assert not closed.is_set(), "it has an attempt on it"
+            assert not closed.is_set(), "the connection has an attempt in progress"
             may_respond.set()
             await asyncio.sleep(0.05)
             dispatcher.handle_callback(clients.Callback("a", "w0", "done", 0.0, AttemptOutcome.DONE, b""))
--- a/tests/scheduler/test_random.py
+++ b/tests/scheduler/test_random.py
@@ -1,4 +1,4 @@
-"""Random draws: uniform, by given weights, and the same for a seed on every platform."""
+"""Random draws: uniform or weighted, and the same for a seed on every platform."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 def test_a_seed_gives_the_same_draws_on_every_platform() -> None:
-    """A recorded run is played again elsewhere, or with a later Python.
+    """A recorded run is replayed on another platform or with a later version of Python.
 
-    The generator of the standard library may draw otherwise there, and each decision after the first draw
-    would differ. The draws of a seed must be these, for good.
+    There the generator of the standard library may give other draws, and each decision after the first draw
+    would differ. The draws of a seed must never change.
     """
     generator = LinearCongruentialGenerator(7)
     assert [generator.below(1000) for _ in range(6)] == [493, 955, 906, 272, 266, 138]
 
 
-def test_of_a_seed_the_lower_64_bits_count() -> None:
+def test_only_the_lower_64_bits_of_a_seed_count() -> None:
     assert LinearCongruentialGenerator(7 + (1 << 64)).below(1 << 32) == LinearCongruentialGenerator(7).below(
         1 << 32
     )
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize(
     ("probability", "least", "most"), [(0.0, 0, 0), (0.25, 1150, 1350), (1.0, 5000, 5000)]
 )
-def test_an_event_happens_as_often_as_its_probability_says(probability: float, least: int, most: int) -> None:
+def test_true_is_drawn_with_the_given_probability(probability: float, least: int, most: int) -> None:
     generator = LinearCongruentialGenerator(7)
     assert least <= sum(generator.bernoulli(probability) for _ in range(5000)) <= most
 
--- a/tests/scheduler/test_rendezvous.py
+++ b/tests/scheduler/test_rendezvous.py
@@ -27,7 +27,7 @@
         assert order(CANDIDATES, key) == order(CANDIDATES[::-1], key)
 
 
-def test_the_order_of_a_key_is_the_same_for_ever() -> None:
+def test_the_order_of_a_key_never_changes() -> None:
     assert order(CANDIDATES, 5) == ["w0", "w1", "w3", "w2", "w4"]
 
 
@@ -39,9 +39,9 @@
 def test_without_a_candidate_the_others_keep_their_order() -> None:
     """A worker leaves the fleet.
 
-    If the order of every key changed with it, all keys would move to workers that do not have what they need,
-    and the whole fleet would fetch at once. Only the keys that had the worker that left may move.
+    If this changed the order of every key, all keys would move to workers that do not have their data, and
+    the whole fleet would fetch data at once. Only the keys of the worker that left may move.
     """
     for key in range(50):
-        left = [name for name in order(CANDIDATES, key) if name != "w2"]
-        assert order([candidate for candidate in CANDIDATES if candidate.name != "w2"], key) == left
+        remaining = [name for name in order(CANDIDATES, key) if name != "w2"]
+        assert order([candidate for candidate in CANDIDATES if candidate.name != "w2"], key) == remaining
--- a/tests/scheduler/test_rendezvous_orders.py
+++ b/tests/scheduler/test_rendezvous_orders.py
@@ -25,10 +25,10 @@
 
 
 def test_an_order_is_computed_once_until_the_candidates_change() -> None:
-    """Each draw of a request with a key computed the order of the whole fleet anew.
+    """Each draw for a request with a key computed the order of the whole fleet again.
 
-    It showed as CPU: a cached order costs a fifth of a new one. An order must be computed once for each key,
-    and again only after the endpoint list has changed.
+    This cost CPU time: a cached order costs a fifth of a new one. An order must be computed once for each
+    key, and again only after the endpoint list has changed.
     """
     orders = RendezvousOrders[str, Candidate]()
     first = orders.order(GROUPS, "all", 3)
@@ -37,10 +37,10 @@
 
 
 def test_orders_are_forgotten_once_there_are_too_many() -> None:
-    """A client sends each request with a key of its own.
+    """A client sends each request with a different key.
 
-    Cached orders of all of them, each as long as the fleet, would grow until the process is out of memory.
-    The number of cached orders is bounded: past it they are computed anew.
+    The cached orders of all these keys, each as long as the fleet, would use up the memory of the process.
+    The number of cached orders is limited: beyond it the cache is cleared.
     """
     orders = RendezvousOrders[str, Candidate]()
     first = orders.order(GROUPS, "few", 0)
--- a/tests/scheduler/test_retry_budget.py
+++ b/tests/scheduler/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: retries that gain nothing end soon, and successes earn new ones."""
+"""Retry budget: useless retries soon stop, and successes earn new ones."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def attempts() -> tuple[Attempt, Attempt]:
-    """Return the first attempt of a request, and its retry."""
+    """Return the first attempt of a request and its retry."""
     request = Request(RequestArrived("a", "view", DEADLINE), GRADES[0], now=0, sequence=1)
     endpoint = Endpoint(listed("w"), concurrency_limit=1.0)
     first = Attempt(request, 0, endpoint, now=0)
@@ -28,14 +28,14 @@
         if not budget.allows_retry():
             return sent
         budget.on_sent(retry)
-    raise AssertionError("the budget does not end")
+    raise AssertionError("the budget is never used up")
 
 
 def test_retries_that_gain_nothing_use_up_the_budget() -> None:
-    """In an overload every start is late, also those of retries, and each cancelled attempt loses its place.
+    """In an overload all starts are late, also those of retries, and each cancelled attempt loses its place.
 
-    Without a limit the retries would add to the load that makes starts late. After as many as the budget
-    holds there must be no further one, and first attempts must cost nothing.
+    Without a limit the retries would increase the load that makes starts late. After the retries of the
+    budget there must be no further one. First attempts must not use the budget.
     """
     budget = RetryBudget()
     first, retry = attempts()
@@ -45,7 +45,7 @@
 
 
 def test_a_retry_that_starts_promptly_costs_nothing() -> None:
-    """Some workers are stuck, and every retry finds a sound one. Such retries must never run out."""
+    """Some workers hang, and every retry finds a healthy one. Such retries must never use up the budget."""
     budget = RetryBudget()
     _, retry = attempts()
     for _ in range(100):
@@ -72,13 +72,13 @@
     assert budget.allows_retry()
 
 
-@pytest.mark.parametrize("starts", [False, True])
-def test_an_attempt_that_is_as_good_as_lost_is_retried_once_the_budget_allows_it(starts: bool) -> None:
-    """A worker had hung with a request while retries were spent, and others succeeded again soon after.
+@pytest.mark.parametrize("has_started", [False, True])
+def test_an_attempt_presumed_lost_is_retried_once_the_budget_allows_it(has_started: bool) -> None:
+    """A worker hung with a request while the retry budget was used up; soon after, other requests succeeded.
 
-    No check followed the last one: the request was left to its deadline, though a retry would have been
-    allowed and would have been served. It must be tried again once the budget is earned, and the worker be
-    blamed once.
+    No check followed the last one, so the request waited until its deadline, although the budget allowed a
+    retry again that would have succeeded. The request must be retried as soon as the budget allows it, and
+    only one failure of the worker may be logged.
     """
     service = Checked(fleet=1)
     service.list(listed("w"), listed("x"))
@@ -86,18 +86,18 @@
     budget = service.dispatcher.retries.budget
     _, retry = attempts()
     use_up(budget, retry)
-    if starts:
+    if has_started:
         service.turn(AttemptStarted(1, 0))
-    service.pass_time(2_000_000)  # past half its timeout, and past a progress report and a half
+    service.pass_time(2_000_000)  # more than half its timeout, and more than one and a half report intervals
     assert not cancelled(service)
     for _ in range(11):
         budget.on_success()
     service.pass_time(300_000)
     assert cancelled(service) == [(1, 0)]
-    logged = [order for order in service.orders if type(order) is WriteLog]
-    assert len(logged) == 1, "it was blamed once"
+    logged = [command for command in service.orders if type(command) is WriteLog]
+    assert len(logged) == 1, "only one failure of the worker is logged"
 
 
 def cancelled(service: Checked) -> list[tuple[object, int]]:
-    orders = [order for order in service.orders if type(order) is CancelAttempt]
-    return [(order.request_id, order.attempt) for order in orders]
+    commands = [command for command in service.orders if type(command) is CancelAttempt]
+    return [(command.request_id, command.attempt) for command in commands]
--- a/tests/scheduler/test_retry_eligibility.py
+++ b/tests/scheduler/test_retry_eligibility.py
@@ -1,4 +1,4 @@
-"""Retry eligibility: which further attempts are allowed, and what may be rejected."""
+"""Retry eligibility: which further attempts are allowed, and which requests may be rejected."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def attempted_request(
     effect: Effect, scope: DeduplicationScope = DeduplicationScope.CELL, attempts: int = 1
 ) -> Request:
-    """Return a request with attempts of which each may have run."""
+    """Return a request with attempts that all may have run."""
     request = Request(RequestArrived(1, "view", 60_000_000), service_class(effect, scope), 0, sequence=1)
     for number in range(attempts):
         attempt = Attempt(request, number, Endpoint(listed("w"), concurrency_limit=1.0), SENT_AT)
@@ -51,10 +51,11 @@
 def test_what_may_have_run_is_sent_again_only_while_its_repeat_is_dropped(
     effect: Effect, now: int, is_allowed: bool
 ) -> None:
-    """The worker of an attempt went silent, and the request waited for another one.
+    """The worker of an attempt did not respond any more, and the request waited for another worker.
 
-    By the time of the next attempt workers had forgotten its idempotency key, and the job ran a second time.
-    From the end of the deduplication window on no attempt may be allowed; at most once means none at all.
+    By the time of the next attempt the workers had forgotten its idempotency key, and the job ran a second
+    time. No attempt may be allowed after the end of the deduplication window; for at-most-once requests none
+    at all.
     """
     assert may_attempt(attempted_request(effect), now, MAX_ATTEMPTS) == is_allowed
 
@@ -70,10 +71,10 @@
 def test_a_repeat_goes_where_the_first_attempt_was_sent_also_if_its_worker_is_listed_elsewhere(
     scope: DeduplicationScope,
 ) -> None:
-    """A worker was listed in another zone and cell after a request was sent to it.
+    """A worker was listed in another zone and cell after a request had been sent to it.
 
-    Its former neighbours drop the repeat. Its new ones do not know the idempotency key: followed there, the
-    request would have run twice.
+    Workers in its former zone and cell drop the repeat. Workers in the new ones do not know the idempotency
+    key, so a repeat there would run the request twice.
     """
     request = attempted_request(Effect.IDEMPOTENT_WITH_KEY, scope)
     request.possibly_executed[0].endpoint.update(listed("w", cell=4))
@@ -103,8 +104,8 @@
 ) -> None:
     """A rejection promises the client that it may send the request again, to any dispatcher and worker.
 
-    Where a worker outside the scope of the first attempt would not drop the repeat, the client's retry would
-    run the job twice. Such a request must fail instead.
+    If a worker outside the scope of the first attempt would not drop the repeat, the client's retry could run
+    the job twice. Such a request must be failed instead.
     """
     assert may_reject(attempted_request(effect, scope)) == is_harmless
     assert may_reject(attempted_request(effect, scope, attempts=0))
--- a/tests/scheduler/test_run_time.py
+++ b/tests/scheduler/test_run_time.py
@@ -1,4 +1,4 @@
-"""Run times: the mean of the last ends, and what counts as long beside it."""
+"""Run time estimator: the mean of recent runs, and from when on a run is unusually long."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def ended(*run_times: int, now: int = SECOND) -> RunTimeEstimator:
-    """Return an estimator that has counted these run times, all at one moment."""
+    """Return an estimator that has counted these run times, all at the same time."""
     estimator = RunTimeEstimator(300_000)
     for run_time in run_times:
         estimator.add(run_time, now)
@@ -38,18 +38,19 @@
 
 
 def test_a_run_time_of_zero_counts_as_one_microsecond() -> None:
-    """A worker reported the start and the end of a job together, so that its run took no time.
+    """A worker reported the start and the end of a job together, which gave a run time of zero.
 
-    A mean of zero broke the step of the scheduler by a division. The mean must never be under a microsecond.
+    With a mean of zero the step of the scheduler failed with a division by zero. The mean must never be less
+    than one microsecond.
     """
     assert ended(0).mean(SECOND) == 1.0
 
 
 def test_nothing_is_long_while_fewer_than_five_ends_are_known() -> None:
-    """Three to five of twelve sound workers were suspected of slow progress within seconds of a start.
+    """Three to five of twelve healthy workers were suspected of slow progress within seconds of a start.
 
-    The few run times known by then say nothing of how far sound runs differ. No run may count as long before
-    five ends are known.
+    The few run times known by then did not show how much normal runs differ. No run may count as long until
+    five completed runs are known.
     """
     assert ended(*[100_000] * 4).long_run_time(SECOND) == NEVER_LONG
 
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what a warming endpoint is sent by all dispatchers together, as it counts the work itself."""
+"""Slow start: how much work all dispatchers together send to a warming endpoint."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 
 #: Slots of each worker.
 SLOTS = 3
-#: Times in microseconds: a round, the run that is played, the way of a message between dispatcher and worker.
+#: Times in microseconds: round interval, length of the simulated run, message latency and start of the run.
 ROUND_INTERVAL = 4_000
-SPAN = 12_000_000
-LATENCY = 3_000
+SIMULATED_TIME = 12_000_000
+MESSAGE_LATENCY = 3_000
 START = 10_000_000
 #: Speeds of the three worker types.
 SPEEDS = (1.5, 1.0, 0.6)
@@ -50,7 +50,7 @@
 WORK = {"view": 550_000, "long": 3_300_000}
 SHARES = {"view": 0.35, "long": 0.65}
 USUAL_WORK = sum(SHARES[name] * work for name, work in WORK.items())
-#: Requests arrive at this multiple of what the workers can run once they are warm.
+#: Arriving work, relative to what the workers can run once they are warm.
 OVERLOAD = 1.1
 
 
@@ -91,27 +91,27 @@
 
 
 class Burst:
-    """Dispatchers that each see their part of the requests, and workers of which some have just started."""
+    """Several dispatchers that share the requests, and workers of which some have just started."""
 
     def __init__(self, seed: int, dispatcher_count: int, warm: int, warming: int, margin: float) -> None:
         self.random = Random(seed)
         self.now = 0
         self.actions: list[tuple[int, int, Callable[[], None]]] = []
-        self.planned = 0
+        self.action_count = 0
         config = scheduler_config(dispatcher_count, margin)
         self.slow_start = config.slow_start
         self.schedulers = [Scheduler(seed * 1000 + number, config) for number in range(dispatcher_count)]
         self.warming = [f"warming{number}" for number in range(warming)]
         self.workers = [f"warm{number}" for number in range(warm)] + self.warming
-        self.speeds = {name: SPEEDS[place % len(SPEEDS)] for place, name in enumerate(self.workers)}
+        self.speeds = {name: SPEEDS[index % len(SPEEDS)] for index, name in enumerate(self.workers)}
         self.received: dict[str, list[tuple[int, float]]] = {name: [] for name in self.workers}
         self.running = dict.fromkeys(self.workers, 0)
         self.queues: dict[str, list[tuple[int, int]]] = {name: [] for name in self.workers}
         self.work: dict[int, float] = {}  # of each request, in microseconds at speed 1
-        self.plan_list()
-        self.plan_arrivals()
+        self.schedule_list()
+        self.schedule_arrivals()
 
-    def plan_list(self) -> None:
+    def schedule_list(self) -> None:
         entries = [
             listed(name, started_at=START * (name in self.warming), kind=f"speed {self.speeds[name]}")
             for name in self.workers
@@ -119,24 +119,24 @@
         for number in range(len(self.schedulers)):
             self.emit_at(START, number, EndpointListUpdate(ListUpdateKind.SNAPSHOT, entries))
 
-    def plan_arrivals(self) -> None:
+    def schedule_arrivals(self) -> None:
         rate = OVERLOAD * SLOTS * sum(self.speeds.values()) / USUAL_WORK
         moment, request = float(START), 0
-        while moment < START + SPAN:
+        while moment < START + SIMULATED_TIME:
             moment, request = moment + self.random.expovariate(rate), request + 1
             dispatcher = self.random.randrange(len(self.schedulers))
-            self.at(int(moment), partial(self.arrive, dispatcher, request))
+            self.schedule(int(moment), partial(self.arrive, dispatcher, request))
 
-    def at(self, moment: int, action: Callable[[], None]) -> None:
-        self.planned += 1
-        heappush(self.actions, (moment, self.planned, action))
+    def schedule(self, moment: int, action: Callable[[], None]) -> None:
+        self.action_count += 1
+        heappush(self.actions, (moment, self.action_count, action))
 
     def emit_at(self, moment: int, dispatcher: int, event: Event) -> None:
-        self.at(moment, partial(self.emit, dispatcher, event))
+        self.schedule(moment, partial(self.emit, dispatcher, event))
 
     def run(self) -> float:
-        """Return the most that a warming worker received in a window, over what overloads it."""
-        while self.actions and self.actions[0][0] < START + SPAN:
+        """Return the most work that a warming worker received in a window, relative to its overload limit."""
+        while self.actions and self.actions[0][0] < START + SIMULATED_TIME:
             self.now, _, action = heappop(self.actions)
             action()
         return max(self.worst_window(name) for name in self.warming)
@@ -172,9 +172,9 @@
                 due = self.now + max(ROUND_INTERVAL, command.delay)
                 self.emit_at(due, dispatcher, TimerFired(command.timer_id))
             elif isinstance(command, StartAttempt):
-                self.at(self.now + LATENCY, partial(self.receive, dispatcher, command))
+                self.schedule(self.now + MESSAGE_LATENCY, partial(self.receive, dispatcher, command))
             elif isinstance(command, CancelAttempt):
-                self.at(self.now + 2 * LATENCY, partial(self.cancel, dispatcher, command))
+                self.schedule(self.now + 2 * MESSAGE_LATENCY, partial(self.cancel, dispatcher, command))
 
     def receive(self, dispatcher: int, command: StartAttempt) -> None:
         worker, request = command.worker, int(command.request_id)
@@ -189,7 +189,7 @@
         attempt = len(self.schedulers[dispatcher].requests.open[request].attempts) - 1
         self.emit(dispatcher, AttemptStarted(request, attempt))
         run_time = int(self.work[request] / self.speeds[worker] / self.factor(worker, self.now))
-        self.at(self.now + run_time, partial(self.end, dispatcher, request, attempt, worker))
+        self.schedule(self.now + run_time, partial(self.end, dispatcher, request, attempt, worker))
 
     def end(self, dispatcher: int, request: int, attempt: int, worker: str) -> None:
         self.running[worker] -= 1
@@ -214,11 +214,11 @@
 def test_thirty_dispatchers_together_do_not_overload_a_warming_worker(warm: int, warming: int) -> None:
     """Thirty dispatchers sent a worker that had just started more than it could take, and it fell over.
 
-    Each kept to its share of the budget. But shares were planned up to the limit itself, by the usual
-    request, and a few long requests that met at a slow worker came on top: in 11 of 600 such bursts one was
-    overloaded. What all dispatchers plan has to leave room for draws and sizes that fall together, so that no
-    warming worker receives more in any window than the platform allows for chance; and it has to use the
-    budget, too.
+    Each dispatcher kept to its share of the budget. But the shares were computed from the usual request and
+    used up the whole limit, so a few long requests that coincided at a slow worker exceeded it: in 11 of 600
+    such bursts a worker was overloaded. The budgets must leave room for chance, so that no warming worker
+    receives more in any window than the limit plus the platform's allowance for chance. The budgets must be
+    used, too.
     """
     worst = [Burst(seed, 30, warm, warming, SLOW_START_MARGIN).run() for seed in range(8)]
     assert 0.3 < max(worst) <= 1.0, worst
@@ -226,10 +226,10 @@
 
 @pytest.mark.parametrize(("has_ratings", "is_allowed"), [(True, True), (False, False)])
 def test_a_rated_worker_is_sent_as_much_as_its_size_allows(has_ratings: bool, is_allowed: bool) -> None:
-    """Workers of eight cores that had just started stayed idle beside queues, as each counted as two slots.
+    """Newly started workers of eight cores stayed idle while queues grew, as each counted as two slots.
 
-    Eight seconds of work fill a worker of eight cores for one second, of the 1.2 that it may be sent. Where
-    no rating tells its size, they fill it for four.
+    Eight seconds of work occupy a worker of eight cores for one second, of the 1.2 s that it may be sent.
+    Without a rating, which states the size, the same work counts as four seconds.
     """
     checked = Checked(fleet=1, live=has_ratings)
     checked.list(listed("w", rating=8.0, started_at=checked.now))
--- a/tests/scheduler/test_throughput.py
+++ b/tests/scheduler/test_throughput.py
@@ -1,4 +1,4 @@
-"""How fast worker types are beside each other."""
+"""Throughput estimator: the relative speeds of worker types."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     assert throughput.relative_speeds["crate"] == pytest.approx(1 / 3, rel=0.01)
 
 
-def test_a_single_run_does_not_decide() -> None:
+def test_a_single_slow_run_at_most_halves_the_speed_of_a_type() -> None:
     """The first request at a worker type happened to be a heavy one.
 
-    By that run alone its type would count as four times slower and get a sixteenth of the draws. Two ends at
-    the usual run come first, so that a single end halves the speed at most.
+    By this run alone the type would count as four times slower and would be sent a sixteenth of the requests.
+    Two assumed runs of the usual length are added, so that this run only halves the speed.
     """
     throughput = ThroughputEstimator()
     throughput.add("box", 1.0, 0)
--- a/tests/scheduler/test_token_bucket.py
+++ b/tests/scheduler/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""Tokens that are added at a rate and taken one by one."""
+"""Token bucket: tokens are added at a rate and taken one at a time."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 def test_a_capacity_that_has_shrunk_counts_at_once() -> None:
-    """A tenant's share of its quota is cut while its bucket is full of tokens of the larger share.
+    """A tenant's share of its quota is reduced while its bucket is full of tokens of the larger share.
 
-    Taken one by one these would exceed the quota of all dispatchers together. The smaller capacity must cut
+    With these tokens the tenant would exceed its quota over all dispatchers. The smaller capacity must reduce
     the level at the next request.
     """
     bucket = TokenBucket(5.0, 0)
--- a/tests/scheduler/test_uniform_placement.py
+++ b/tests/scheduler/test_uniform_placement.py
@@ -1,4 +1,4 @@
-"""How often an endpoint that was drawn uniformly accepts."""
+"""Uniform placement: how often the draw of an endpoint is accepted."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 def test_a_slow_type_accepts_by_the_square_of_its_speed_in_a_sparse_fleet_alone(
     dispatchers: int, least: int, most: int
 ) -> None:
-    """Workers of a slow type had runs of 9 s beside 0.4 s at fast ones, and were sent as many requests.
+    """Workers of a slow type had run times of 9 s instead of 0.4 s, but were sent as many requests.
 
-    One of 200 dispatchers sees too few ends on any of them for its limit to follow. An idle worker of half
-    the speed has to accept a quarter of its draws there, and each draw where the limits can follow.
+    Each of 200 dispatchers sees too few attempts end at any worker to adapt its concurrency limit. With so
+    many dispatchers a quarter of the draws of an idle worker with half the speed must be accepted. With few
+    dispatchers, whose limits can adapt, every draw must be accepted.
     """
     checked = Checked(fleet=dispatchers)
     checked.list(listed("w"))
