--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,8 +1,9 @@
-"""Recorded decisions: the same events give the same commands, whatever the program calls them.
+"""Recorded decisions: the same events give the same commands, whatever names the program uses for them.
 
-A seeded driver feeds each configuration a few thousand events and reacts to the commands. The commands are
-rendered with the stable tags of `COMMANDS` and compared by digest. A renaming edits the part of this file
-above "the driver" and nothing else; the recorded digests change only with a decision.
+A seeded driver passes a few thousand events to the scheduler for each configuration and reacts to its
+commands. The commands are rendered with the stable tags of `COMMANDS` and compared by digest. A renaming in
+the program changes only the part of this file above "driver"; the recorded digests change only if a decision
+changes.
 """
 
 from __future__ import annotations
@@ -64,12 +65,12 @@
 from locktide.scheduler.scheduler import Scheduler
 from locktide.scheduler.types import AttemptOutcome, DeduplicationScope, Effect, EndpointState, ListUpdateKind
 
-# --- translation: the only part that knows the program's names
+# --- translation: the only part that uses the program's names
 
 
 @dataclass(frozen=True)
 class Rendering:
-    """Stable tag of a command, and its attributes in their stable order."""
+    """The stable tag of a command, and its attributes in a stable order."""
 
     tag: str
     attributes: tuple[str, ...]
@@ -87,7 +88,7 @@
     ReportInternalError: Rendering("internal-error", ("request_id",)),  # without the traceback's text
     WriteLog: Rendering("log", ()),  # without its event
 }
-NEVER_ORDERED = {"fetch"}  # no rule orders it
+NEVER_ISSUED = {"fetch"}  # no policy issues it
 
 EFFECTS = {
     "idempotent": Effect.IDEMPOTENT,
@@ -118,111 +119,111 @@
 
 
 @dataclass
-class Class:
-    """One service class, in neutral words."""
+class ClassSettings:
+    """One service class, independent of the program's names."""
 
     name: str
     effect: str = "idempotent"
     scope: str = "cell"
-    memory: int = 4_000_000
-    objective: int = 900_000
+    deduplication_window: int = 4_000_000
+    latency_objective: int = 900_000
     stretch: float = 2.0
-    deadline: int = 6_000_000
-    revenue: float = 5.0
-    overdue: float = 2.0
-    kind: str | None = None
-    kinds: frozenset[str] | None = None
+    timeout: int = 6_000_000
+    priority_weight: float = 5.0
+    overdue_weight: float = 2.0
+    worker_type: str | None = None
+    worker_types: frozenset[str] | None = None
     zones: frozenset[str] | None = None
 
 
 @dataclass
 class Settings:
-    """The scheduler's configuration, in neutral words."""
+    """The scheduler's configuration, independent of the program's names."""
 
-    classes: list[Class]
-    step: int = 4_000
-    fleet: int = 3
-    most_attempts: int = 3
-    may_cancel: bool = True
+    classes: list[ClassSettings]
+    round_interval: int = 4_000
+    dispatcher_count: int = 3
+    max_attempts: int = 3
+    can_cancel: bool = True
     counts_unsent: bool = True
-    longest_advice: int = 2_000_000
+    max_retry_after: int = 2_000_000
     quotas: dict[str, float] = field(default_factory=dict)
-    beyond_quota: float = 1.0
-    worst_class: float = 0.1
-    cold_factor: float = 4.0
-    cold_window: int = 1_000_000
-    cold_from: float = 0.3
-    warm_after: int = 6_000_000
-    cold_margin: float = 1.0
-    must_ask: bool = False
-    ask_within: int = 4_000_000
-    live: bool = False
-    close_within: int = 0
-    told_within: int = 0
-    tells_start: bool = True
-    progress_every: int = 300_000
-    connection_price: float = 0.0
-    crossing_price: float = 0.0
+    beyond_quota_weight: float = 1.0
+    worst_class_weight: float = 0.1
+    overload_factor: float = 4.0
+    slow_start_window: int = 1_000_000
+    initial_capacity: float = 0.3
+    warmup: int = 6_000_000
+    slow_start_margin: float = 1.0
+    is_polled: bool = False
+    poll_within: int = 4_000_000
+    has_live_ratings: bool = False
+    close_idle_within: int = 0
+    notified_within: int = 0
+    reports_start: bool = True
+    report_interval: int = 300_000
+    connection_cost: float = 0.0
+    cross_zone_cost: float = 0.0
     zone: str = ""
-    idle_close: int = 0
+    idle_timeout: int = 0
 
 
-def program_grade(one: Class) -> Any:
+def program_service_class(service_class: ClassSettings) -> Any:
     return ServiceClass(
-        name=one.name,
-        effect=EFFECTS[one.effect],
-        deduplication_scope=SCOPES[one.scope],
-        deduplication_window=one.memory,
-        latency_objective=one.objective,
-        stretch=one.stretch,
-        timeout=one.deadline,
-        priority_weight=one.revenue,
-        overdue_weight=one.overdue,
-        worker_type=one.kind,
-        allowed_worker_types=one.kinds,
-        allowed_zones=one.zones,
+        name=service_class.name,
+        effect=EFFECTS[service_class.effect],
+        deduplication_scope=SCOPES[service_class.scope],
+        deduplication_window=service_class.deduplication_window,
+        latency_objective=service_class.latency_objective,
+        stretch=service_class.stretch,
+        timeout=service_class.timeout,
+        priority_weight=service_class.priority_weight,
+        overdue_weight=service_class.overdue_weight,
+        worker_type=service_class.worker_type,
+        allowed_worker_types=service_class.worker_types,
+        allowed_zones=service_class.zones,
     )
 
 
 def program_config(settings: Settings) -> SchedulerConfig:
     return SchedulerConfig(
-        settings.step,
-        settings.fleet,
-        [program_grade(one) for one in settings.classes],
+        settings.round_interval,
+        settings.dispatcher_count,
+        [program_service_class(class_settings) for class_settings in settings.classes],
         RetryConfig(
-            max_attempts=settings.most_attempts,
-            can_cancel=settings.may_cancel,
+            max_attempts=settings.max_attempts,
+            can_cancel=settings.can_cancel,
             counts_unsent=settings.counts_unsent,
         ),
-        ClientConfig(max_retry_after=settings.longest_advice),
-        QuotaConfig(quotas=dict(settings.quotas), beyond_quota_weight=settings.beyond_quota),
-        ObjectiveConfig(worst_class_weight=settings.worst_class),
+        ClientConfig(max_retry_after=settings.max_retry_after),
+        QuotaConfig(quotas=dict(settings.quotas), beyond_quota_weight=settings.beyond_quota_weight),
+        ObjectiveConfig(worst_class_weight=settings.worst_class_weight),
         SlowStartConfig(
-            overload_factor=settings.cold_factor,
-            window=settings.cold_window,
-            initial_capacity=settings.cold_from,
-            warmup=settings.warm_after,
-            margin=settings.cold_margin,
+            overload_factor=settings.overload_factor,
+            window=settings.slow_start_window,
+            initial_capacity=settings.initial_capacity,
+            warmup=settings.warmup,
+            margin=settings.slow_start_margin,
         ),
         EndpointListConfig(
-            polled=settings.must_ask,
-            poll_within=settings.ask_within,
-            live_ratings=settings.live,
-            close_idle_within=settings.close_within,
-            notified_within=settings.told_within,
+            polled=settings.is_polled,
+            poll_within=settings.poll_within,
+            live_ratings=settings.has_live_ratings,
+            close_idle_within=settings.close_idle_within,
+            notified_within=settings.notified_within,
         ),
-        ProgressConfig(reports_start=settings.tells_start, report_interval=settings.progress_every),
+        ProgressConfig(reports_start=settings.reports_start, report_interval=settings.report_interval),
         CostConfig(
-            connection=settings.connection_price,
-            cross_zone=settings.crossing_price,
+            connection=settings.connection_cost,
+            cross_zone=settings.cross_zone_cost,
             zone=settings.zone,
-            idle_timeout=settings.idle_close,
+            idle_timeout=settings.idle_timeout,
         ),
     )
 
 
 class SchedulerUnderTest:
-    """The decision core behind neutral calls."""
+    """The scheduler behind an interface that is independent of the program's names."""
 
     def __init__(self, seed: int, settings: Settings) -> None:
         self._dispatcher = Scheduler(seed, program_config(settings))
@@ -239,7 +240,7 @@
     hint: int = 0,
     tenant: str | None = None,
     retry: bool = False,
-    patient: bool = False,
+    background: bool = False,
     key: int | None = None,
 ) -> Any:
     return RequestArrived(
@@ -250,7 +251,7 @@
         work_hint=hint,
         tenant=tenant,
         is_retry=retry,
-        background=patient,
+        background=background,
         affinity_key=key,
     )
 
@@ -276,7 +277,7 @@
     return AttemptProgressed(request_id=request, attempt=attempt, fraction_done=share)
 
 
-def stream_began(request: int, attempt: int) -> Any:
+def response_started(request: int, attempt: int) -> Any:
     return ResponseStarted(request_id=request, attempt=attempt)
 
 
@@ -284,27 +285,29 @@
     return AttemptEnded(request_id=request, attempt=attempt, outcome=OUTCOMES[outcome], final=final)
 
 
-def client_gone(request: int) -> Any:
+def client_disconnected(request: int) -> Any:
     return ClientDisconnected(request_id=request)
 
 
-def timer_due(mark: int) -> Any:
-    return TimerFired(timer_id=mark)
+def timer_fired(timer_id: int) -> Any:
+    return TimerFired(timer_id=timer_id)
 
 
-def probe_ended(worker: str, outcome: str) -> Any:
+def probe_completed(worker: str, outcome: str) -> Any:
     return ProbeCompleted(worker=worker, outcome=OUTCOMES[outcome])
 
 
-def new_settings(settings: Settings) -> Any:
+def config_reloaded(settings: Settings) -> Any:
     return ConfigReloaded(config=program_config(settings))
 
 
-def listed(worker: str, zone: str, kind: str, cell: int, state: str, rating: float, started_at: int) -> Any:
+def list_entry(
+    worker: str, zone: str, worker_type: str, cell: int, state: str, rating: float, started_at: int
+) -> Any:
     return EndpointEntry(
         worker=worker,
         zone=zone,
-        worker_type=kind,
+        worker_type=worker_type,
         cell=cell,
         state=STATES[state],
         rating=rating,
@@ -312,12 +315,12 @@
     )
 
 
-def worker_list(kind: str, entries: list[Any]) -> Any:
+def list_update(kind: str, entries: list[Any]) -> Any:
     return EndpointListUpdate(kind=LIST_KINDS[kind], entries=entries)
 
 
-def quota_stage(until: int, shares: dict[str, float], lent: dict[str, float]) -> Any:
-    return QuotaStage(until=until, shares=shares, borrowed=lent)
+def quota_stage(until: int, shares: dict[str, float], borrowed: dict[str, float]) -> Any:
+    return QuotaStage(until=until, shares=shares, borrowed=borrowed)
 
 
 def quota_shares(stages: list[Any], over: Iterable[str], over_until: int) -> Any:
@@ -332,18 +335,18 @@
     "QuotaStage",
 }  # classes inside events, not events themselves
 
-# --- the driver: neutral words only; nothing below here changes in a renaming
+# --- driver: independent of the program's names; a renaming changes nothing below
 
 
-QUANTUM = 4_000  # microseconds: all moments are its multiples, so that events meet limits exactly
+QUANTUM = 4_000  # microseconds; all times are multiples of it, so that events coincide exactly with limits
 
 
 def on_grid(moment: int) -> int:
     return -(-moment // QUANTUM) * QUANTUM
 
 
-class Dice:
-    """Draws from `random()` alone, whose sequence Python guarantees from version to version."""
+class RandomSource:
+    """Draws only from `random()`, whose sequence Python guarantees across versions."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
@@ -354,8 +357,8 @@
     def between(self, least: int, most: int) -> int:
         return least + self.below(most - least + 1)
 
-    def chance(self, odds: float) -> bool:
-        return self._random.random() < odds
+    def chance(self, probability: float) -> bool:
+        return self._random.random() < probability
 
     def pick(self, values: Any) -> Any:
         return values[self.below(len(values))]
@@ -366,42 +369,42 @@
 
 @dataclass
 class Workload:
-    """One recorded run: the configuration, and what happens in it."""
+    """One recorded run: its configuration and its random events."""
 
     settings: Settings
     seed: int
-    requests: int = 350
-    workers: int = 8
-    gap: int = 30_000  # microseconds between two arrivals, on average
-    run: int = 250_000  # of a job, on average
+    request_count: int = 350
+    worker_count: int = 8
+    arrival_gap: int = 30_000  # microseconds between two arrivals, on average
+    run_time: int = 250_000  # of a job, on average, in microseconds
     hints: tuple[int, ...] = (0, 100_000, 250_000, 900_000)
     widths: tuple[float, ...] = (1.0, 1.0, 1.0, 2.0, 3.0)
     tenants: tuple[str | None, ...] = (None,)
-    key_odds: float = 0.0
+    key_probability: float = 0.0
     keys: int = 6
-    patient_odds: float = 0.0
-    first_list: str = "whole"
+    background_probability: float = 0.0
+    first_list_kind: str = "whole"
     reloads: tuple[Settings, ...] = ()
-    trouble_odds: float = 0.05  # of a change of some worker's health, at an arrival
-    list_odds: float = 0.08  # of a change of the list, at an arrival
-    error_odds: float = 0.05
-    fault_odds: float = 0.004  # of a malformed event, at an arrival
-    kinds: tuple[str, ...] = ("fast", "standard", "slow")
-    rating_every: int = 150_000
-    all_sick: bool = False
+    health_change_probability: float = 0.05  # of a change in the health of a worker, at each arrival
+    list_change_probability: float = 0.08  # of a change of the endpoint list, at each arrival
+    error_probability: float = 0.05
+    malformed_probability: float = 0.004  # of a malformed event, at each arrival
+    worker_types: tuple[str, ...] = ("fast", "standard", "slow")
+    rating_interval: int = 150_000
+    is_mostly_unhealthy: bool = False
 
 
 @dataclass
 class EmulatedWorker:
     name: str
     zone: str
-    kind: str
+    worker_type: str
     cell: int
     state: str = "ready"
     started_at: int = 0
     health: str = "sound"
     jobs: int = 0
-    stuck_rating: float | None = None
+    frozen_rating: float | None = None
 
 
 @dataclass
@@ -413,7 +416,7 @@
 @dataclass
 class EmulatedRequest:
     deadline_at: int
-    is_spoilt: bool = False
+    fails_everywhere: bool = False
     is_answered: bool = False
     attempts: list[EmulatedAttempt] = field(default_factory=list)
 
@@ -424,15 +427,15 @@
 
 
 class Run:
-    """Plays one workload against a scheduler in virtual time and digests every command."""
+    """Runs one workload against a scheduler in virtual time and digests every command."""
 
     def __init__(self, workload: Workload) -> None:
         self.workload, self.settings = workload, workload.settings
-        self.dice = Dice(workload.seed)
+        self.random_source = RandomSource(workload.seed)
         self.scheduler = SchedulerUnderTest(workload.seed, workload.settings)
         self.now = 10_000_000
         self.queue: list[tuple[int, int, Any]] = []
-        self.queued = 0
+        self.queued_count = 0
         self.requests: dict[int, EmulatedRequest] = {}
         self.workers: dict[str, EmulatedWorker] = {}
         self.commands_digest = hashlib.sha256()
@@ -443,11 +446,11 @@
 
     # -- time
 
-    def at(self, moment: int, action: Any) -> None:
-        self.queued += 1
-        heapq.heappush(self.queue, (on_grid(moment), self.queued, action))
+    def schedule(self, moment: int, action: Any) -> None:
+        self.queued_count += 1
+        heapq.heappush(self.queue, (on_grid(moment), self.queued_count, action))
 
-    def play(self) -> None:
+    def execute(self) -> None:
         self.start()
         while self.queue:
             self.now = self.queue[0][0]
@@ -458,35 +461,35 @@
                 self.step(batch)
 
     def start(self) -> None:
-        for place in range(self.workload.workers):
-            kind = self.workload.kinds[place % len(self.workload.kinds)]
-            health = "resetting" if self.workload.all_sick and place % 4 else "sound"
-            worker = EmulatedWorker(f"w{place}", f"zone-{place % 2}", kind, place % 3, health=health)
+        for index in range(self.workload.worker_count):
+            worker_type = self.workload.worker_types[index % len(self.workload.worker_types)]
+            health = "resetting" if self.workload.is_mostly_unhealthy and index % 4 else "sound"
+            worker = EmulatedWorker(f"w{index}", f"zone-{index % 2}", worker_type, index % 3, health=health)
             self.workers[worker.name] = worker
-        self.step([worker_list(self.workload.first_list, self.entries())])
+        self.step([list_update(self.workload.first_list_kind, self.entries())])
         moment = self.now
-        for number in range(self.workload.requests):
-            moment += self.dice.below(2 * self.workload.gap)
-            self.at(moment, lambda number=number: self.arrive(number))
-        for place, settings in enumerate(self.workload.reloads):
-            change = self.now + (place + 1) * (moment - self.now) // (len(self.workload.reloads) + 1)
-            self.at(change, lambda settings=settings: self.reload(settings))
-        self.traffic_ends = moment
-        self.at(self.now + self.workload.rating_every, self.rate)
+        for number in range(self.workload.request_count):
+            moment += self.random_source.below(2 * self.workload.arrival_gap)
+            self.schedule(moment, lambda number=number: self.arrive(number))
+        for index, settings in enumerate(self.workload.reloads):
+            change = self.now + (index + 1) * (moment - self.now) // (len(self.workload.reloads) + 1)
+            self.schedule(change, lambda settings=settings: self.reload(settings))
+        self.last_arrival_at = moment
+        self.schedule(self.now + self.workload.rating_interval, self.update_ratings)
 
     def step(self, events: list[Any]) -> None:
         self.events += len(events)
         self.event_types.update(type(event) for event in events)
         commands = self.scheduler.step(self.now, events)
         self.commands_digest.update(f"@{self.now}\n".encode())
-        for place, command in enumerate(commands):
+        for index, command in enumerate(commands):
             rendering = COMMANDS[type(command)]
             self.counts[rendering.tag] += 1
             if rendering.tag == "log":
-                self.logs_digest.update(f"{self.now} {place}\n".encode())
+                self.logs_digest.update(f"{self.now} {index}\n".encode())
                 continue
             values = [getattr(command, attribute) for attribute in rendering.attributes]
-            self.commands_digest.update(" ".join([rendering.tag, *map(spelled, values)]).encode() + b"\n")
+            self.commands_digest.update(" ".join([rendering.tag, *map(rendered, values)]).encode() + b"\n")
             self.react(rendering.tag, values)
 
     # -- commands
@@ -495,16 +498,16 @@
         if tag == "dispatch":
             self.run_attempt(values[0], values[1])
         elif tag == "wake":
-            due = self.now + max(values[0], self.settings.step)
-            self.at(due, lambda: [timer_due(values[1])])
+            due = self.now + max(values[0], self.settings.round_interval)
+            self.schedule(due, lambda: [timer_fired(values[1])])
         elif tag == "cancel":
-            if self.dice.chance(0.7):
-                outcome = "cancelled" if self.dice.chance(0.8) else "cut-off"
-                self.at(self.now + 3_000, lambda: self.end(values[0], values[1], outcome))
+            if self.random_source.chance(0.7):
+                outcome = "cancelled" if self.random_source.chance(0.8) else "cut-off"
+                self.schedule(self.now + 3_000, lambda: self.end(values[0], values[1], outcome))
         elif tag == "watch":
-            answer = self.dice.pick(("whole", "whole", "failed", "silent"))
-            entries = self.entries() if answer == "whole" else []
-            self.at(self.now + 50_000, lambda: [worker_list(answer, entries)])
+            list_kind = self.random_source.pick(("whole", "whole", "failed", "silent"))
+            entries = self.entries() if list_kind == "whole" else []
+            self.schedule(self.now + 50_000, lambda: [list_update(list_kind, entries)])
         elif tag in ("reject", "fail", "internal-error") and values[0] in self.requests:
             self.requests[values[0]].is_answered = True
 
@@ -515,313 +518,360 @@
         worker.jobs += 1
         if worker.health in ("refusing", "full"):
             refusal = BAD_ENDS[worker.health]
-            self.at(self.now + 2_000, lambda: self.end(request, number, refusal))
+            self.schedule(self.now + 2_000, lambda: self.end(request, number, refusal))
             return
-        begins = self.now + on_grid(self.dice.between(1_000, 80_000)) * (1 + worker.jobs // 3)
-        lasts = int(self.workload.run * (0.2 + 1.6 * self.dice.share()) * SPEEDS[worker.kind])
-        self.at(self.now + 1_000, lambda: [sent(request, number)] if self.dice.chance(0.8) else [])
+        starts_at = self.now + on_grid(self.random_source.between(1_000, 80_000)) * (1 + worker.jobs // 3)
+        run_time = int(
+            self.workload.run_time * (0.2 + 1.6 * self.random_source.share()) * SPEEDS[worker.worker_type]
+        )
+        self.schedule(
+            self.now + 1_000, lambda: [sent(request, number)] if self.random_source.chance(0.8) else []
+        )
         latest = max(emulated.deadline_at, self.now + 1)
         if worker.health == "silent":
-            self.at(latest, lambda: self.end(request, number, "timed-out"))
+            self.schedule(latest, lambda: self.end(request, number, "timed-out"))
             return
         if worker.health == "crawling":
-            begins, lasts = begins + 400_000, lasts * 9
-        if self.settings.tells_start or self.dice.chance(0.1):
-            self.at(begins, lambda: [started(request, number)])
-            if self.dice.chance(0.1):
-                self.at(begins, lambda: [stream_began(request, number)])
-        for moment in self.progress_moments(begins, lasts):
-            share = (moment - begins) / lasts
-            self.at(moment, lambda share=share: [progressed(request, number, share)])
+            starts_at, run_time = starts_at + 400_000, run_time * 9
+        if self.settings.reports_start or self.random_source.chance(0.1):
+            self.schedule(starts_at, lambda: [started(request, number)])
+            if self.random_source.chance(0.1):
+                self.schedule(starts_at, lambda: [response_started(request, number)])
+        for moment in self.progress_moments(starts_at, run_time):
+            share = (moment - starts_at) / run_time
+            self.schedule(moment, lambda share=share: [progressed(request, number, share)])
         outcome = self.outcome(emulated, worker)
-        self.at(min(begins + lasts, latest), lambda: self.end(request, number, outcome))
+        self.schedule(min(starts_at + run_time, latest), lambda: self.end(request, number, outcome))
 
-    def progress_moments(self, begins: int, lasts: int) -> list[int]:
-        every = self.settings.progress_every
-        if not every or self.dice.chance(0.1):
+    def progress_moments(self, starts_at: int, run_time: int) -> list[int]:
+        interval = self.settings.report_interval
+        if not interval or self.random_source.chance(0.1):
             return []
-        return list(range(begins + every, begins + lasts, every))[:12]
+        return list(range(starts_at + interval, starts_at + run_time, interval))[:12]
 
     def outcome(self, emulated: EmulatedRequest, worker: EmulatedWorker) -> str:
-        if emulated.is_spoilt:
+        if emulated.fails_everywhere:
             return "error"
         if worker.health in BAD_ENDS:
             return BAD_ENDS[worker.health]
         if worker.health == "odd":
-            return self.dice.pick(("never-sent", "unfit", "cut-off", "timed-out", "no-connection"))
-        return "error" if self.dice.chance(self.workload.error_odds) else "done"
+            return self.random_source.pick(("never-sent", "unfit", "cut-off", "timed-out", "no-connection"))
+        return "error" if self.random_source.chance(self.workload.error_probability) else "done"
 
     def end(self, request: int, number: int, outcome: str) -> list[Any]:
         emulated = self.requests[request]
         attempt = emulated.attempts[number]
-        if not attempt.is_open and not self.dice.chance(0.1):  # the others are told twice
+        if not attempt.is_open and not self.random_source.chance(0.1):  # a few ends are reported twice
             return []
         if attempt.is_open:
             attempt.is_open = False
             self.workers[attempt.worker].jobs -= 1
-        final = outcome == "done" or outcome == "error" and self.dice.chance(0.1)
+        final = outcome == "done" or outcome == "error" and self.random_source.chance(0.1)
         emulated.is_answered |= final
         return [ended(request, number, outcome, final)]
 
-    # -- events that come by themselves
+    # -- events that are not reactions to commands
 
     def arrive(self, number: int) -> list[Any]:
-        dice, workload = self.dice, self.workload
-        events = self.disturb(number)
-        one = dice.pick(self.settings.classes)
-        deadline_at = self.now + one.deadline
-        patient = dice.chance(workload.patient_odds)
-        if patient:
+        random_source, workload = self.random_source, self.workload
+        events = self.draw_disturbances(number)
+        service_class = random_source.pick(self.settings.classes)
+        deadline_at = self.now + service_class.timeout
+        background = random_source.chance(workload.background_probability)
+        if background:
             deadline_at += 4_000_000
-        key = dice.below(workload.keys) if dice.chance(workload.key_odds) else None
+        key = random_source.below(workload.keys) if random_source.chance(workload.key_probability) else None
         request = arrival(
             number,
-            one.name,
+            service_class.name,
             deadline_at,
-            dice.pick(workload.widths),
-            dice.pick(workload.hints),
-            dice.pick(workload.tenants),
-            dice.chance(0.1),
-            patient,
+            random_source.pick(workload.widths),
+            random_source.pick(workload.hints),
+            random_source.pick(workload.tenants),
+            random_source.chance(0.1),
+            background,
             key,
         )
-        self.requests[number] = EmulatedRequest(deadline_at, is_spoilt=dice.chance(0.03))
-        if dice.chance(0.04):
+        self.requests[number] = EmulatedRequest(deadline_at, fails_everywhere=random_source.chance(0.03))
+        if random_source.chance(0.04):
             events.append(self.recover(number, request))
         else:
             events.append(request)
-        if dice.chance(0.03):
-            self.at(self.now + dice.below(800_000), lambda: [client_gone(number)])
+        if random_source.chance(0.03):
+            self.schedule(self.now + random_source.below(800_000), lambda: [client_disconnected(number)])
         return events
 
     def recover(self, number: int, request: Any) -> Any:
         earlier = []
-        for _ in range(self.dice.between(0, 2)):
-            worker = self.dice.pick(list(self.workers.values()))
-            outcome = self.dice.pick((None, "reset", "full", "cut-off", "never-sent"))
-            cell = self.dice.pick((worker.cell, worker.cell, 9))
-            sent_at = self.now - on_grid(self.dice.below(3_000_000))
+        for _ in range(self.random_source.between(0, 2)):
+            worker = self.random_source.pick(list(self.workers.values()))
+            outcome = self.random_source.pick((None, "reset", "full", "cut-off", "never-sent"))
+            cell = self.random_source.pick((worker.cell, worker.cell, 9))
+            sent_at = self.now - on_grid(self.random_source.below(3_000_000))
             earlier.append(recovered_attempt(worker.name, worker.zone, cell, sent_at, outcome))
-            place = len(self.requests[number].attempts)
+            index = len(self.requests[number].attempts)
             self.requests[number].attempts.append(EmulatedAttempt(worker.name, is_open=outcome is None))
             if outcome is None:
                 worker.jobs += 1
-                ends = self.dice.pick(("done", "reset", "cut-off"))
-                later = self.now + self.dice.below(900_000)
-                self.at(later, lambda place=place, ends=ends: self.end(number, place, ends))
+                final_outcome = self.random_source.pick(("done", "reset", "cut-off"))
+                ends_at = self.now + self.random_source.below(900_000)
+                self.schedule(
+                    ends_at,
+                    lambda index=index, final_outcome=final_outcome: self.end(number, index, final_outcome),
+                )
         return recovered(request, self.now - 3_000_000, earlier)
 
-    def disturb(self, number: int) -> list[Any]:
-        dice, workload, events = self.dice, self.workload, list[Any]()
-        if dice.chance(workload.trouble_odds):
-            worker = dice.pick(list(self.workers.values()))
-            worker.health = dice.pick(HEALTHS)
-        if dice.chance(workload.list_odds):
+    def draw_disturbances(self, number: int) -> list[Any]:
+        random_source, workload, events = self.random_source, self.workload, list[Any]()
+        if random_source.chance(workload.health_change_probability):
+            worker = random_source.pick(list(self.workers.values()))
+            worker.health = random_source.pick(HEALTHS)
+        if random_source.chance(workload.list_change_probability):
             events.append(self.change_list())
-        if dice.chance(0.02):
-            name = dice.pick(list(self.workers))
-            events.append(probe_ended(name, dice.pick(("done", "reset"))))
-        if dice.chance(0.02):
+        if random_source.chance(0.02):
+            name = random_source.pick(list(self.workers))
+            events.append(probe_completed(name, random_source.pick(("done", "reset"))))
+        if random_source.chance(0.02):
             events.append(sent(number + 100_000, 0))
             events.append(started(number + 100_000, 0))
             events.append(progressed(number + 100_000, 0, 0.5))
-            events.append(client_gone(number + 100_000))
-            events.append(timer_due(1_000_000 + number))
-        if dice.chance(workload.fault_odds):
+            events.append(client_disconnected(number + 100_000))
+            events.append(timer_fired(1_000_000 + number))
+        if random_source.chance(workload.malformed_probability):
             events.append(arrival(number + 200_000, "unknown", self.now + 1_000_000))
-            unanswered = [of for of, one in self.requests.items() if one.attempts and not one.is_answered]
-            waiting = [of for of in unanswered if not any(a.is_open for a in self.requests[of].attempts)]
+            unanswered = [
+                request
+                for request, emulated in self.requests.items()
+                if emulated.attempts and not emulated.is_answered
+            ]
+            waiting = [
+                request
+                for request in unanswered
+                if not any(attempt.is_open for attempt in self.requests[request].attempts)
+            ]
             if waiting or unanswered:
-                events.append(progressed(dice.pick(waiting or unanswered), 0, None))
-        if workload.settings.quotas and dice.chance(0.08):
+                events.append(progressed(random_source.pick(waiting or unanswered), 0, None))
+        if workload.settings.quotas and random_source.chance(0.08):
             events.append(self.draw_shares())
         return events
 
     def draw_shares(self) -> Any:
         tenants, stages, until = list(self.settings.quotas), [], self.now
-        for _ in range(self.dice.between(0, 2)):
-            until += on_grid(self.dice.between(100_000, 1_500_000))
-            shares = {of: self.dice.share() for of in tenants if self.dice.chance(0.8)}
-            lent = {of: 4 * self.dice.share() for of in tenants if self.dice.chance(0.5)}
-            stages.append(quota_stage(until, shares, lent))
-        over = [of for of in tenants if self.dice.chance(0.15)]
-        return quota_shares(stages, over, on_grid(self.now + self.dice.below(1_000_000)))
+        for _ in range(self.random_source.between(0, 2)):
+            until += on_grid(self.random_source.between(100_000, 1_500_000))
+            shares = {
+                tenant: self.random_source.share() for tenant in tenants if self.random_source.chance(0.8)
+            }
+            borrowed = {
+                tenant: 4 * self.random_source.share() for tenant in tenants if self.random_source.chance(0.5)
+            }
+            stages.append(quota_stage(until, shares, borrowed))
+        over = [tenant for tenant in tenants if self.random_source.chance(0.15)]
+        return quota_shares(stages, over, on_grid(self.now + self.random_source.below(1_000_000)))
 
     def change_list(self) -> Any:
-        dice = self.dice
-        draw = dice.share()
-        worker = dice.pick(list(self.workers.values()))
+        random_source = self.random_source
+        draw = random_source.share()
+        worker = random_source.pick(list(self.workers.values()))
         if draw < 0.12:
-            return worker_list(dice.pick(("failed", "silent")), [])
+            return list_update(random_source.pick(("failed", "silent")), [])
         if draw < 0.2:
             absent = worker.name if len(self.workers) > 3 else ""
             worker.state = "gone" if absent else worker.state
-            return worker_list("whole", [one for one in self.entries() if one.worker != absent])
+            return list_update("whole", [entry for entry in self.entries() if entry.worker != absent])
         if draw < 0.25:
-            return worker_list("remembered", self.entries())
+            return list_update("remembered", self.entries())
         if draw < 0.32:
             name = f"n{len(self.workers)}"
-            started_at = dice.pick((0, self.now))
+            started_at = random_source.pick((0, self.now))
             worker = EmulatedWorker(
                 name,
-                dice.pick(("zone-0", "zone-1")),
-                dice.pick(self.workload.kinds),
-                dice.below(3),
-                dice.pick(("ready", "ready", "draining")),
+                random_source.pick(("zone-0", "zone-1")),
+                random_source.pick(self.workload.worker_types),
+                random_source.below(3),
+                random_source.pick(("ready", "ready", "draining")),
                 started_at,
             )
             self.workers[name] = worker
         elif worker.state == "ready" and draw < 0.6:
-            worker.state = dice.pick(("draining", "draining", "gone"))
+            worker.state = random_source.pick(("draining", "draining", "gone"))
         else:
             worker.state = "ready"
-            worker.started_at = dice.pick((worker.started_at, self.now))
+            worker.started_at = random_source.pick((worker.started_at, self.now))
             worker.health = "sound"
-        return worker_list("changes", [self.entry(worker)])
+        return list_update("changes", [self.entry(worker)])
 
     def reload(self, settings: Settings) -> list[Any]:
         self.settings = settings
-        return [new_settings(settings)]
+        return [config_reloaded(settings)]
 
-    def rate(self) -> list[Any]:
-        if self.now > self.traffic_ends:
+    def update_ratings(self) -> list[Any]:
+        if self.now > self.last_arrival_at:
             return []
-        self.at(self.now + self.workload.rating_every, self.rate)
-        if not self.settings.live:
+        self.schedule(self.now + self.workload.rating_interval, self.update_ratings)
+        if not self.settings.has_live_ratings:
             return []
         known = [worker for worker in self.workers.values() if worker.state == "ready"]
-        return [worker_list("changes", [self.entry(worker) for worker in known])]
+        return [list_update("changes", [self.entry(worker) for worker in known])]
 
     def entries(self) -> list[Any]:
         return [self.entry(worker) for worker in self.workers.values()]
 
     def entry(self, worker: EmulatedWorker) -> Any:
-        size = {"fast": 6.0, "standard": 4.0, "slow": 2.0}[worker.kind]
+        size = {"fast": 6.0, "standard": 4.0, "slow": 2.0}[worker.worker_type]
         rating = size / (1.0 + worker.jobs / size)
         if worker.health in ("silent", "crawling"):
-            rating = worker.stuck_rating = worker.stuck_rating or rating
+            rating = worker.frozen_rating = worker.frozen_rating or rating
         else:
-            worker.stuck_rating = None
-        return listed(
-            worker.name, worker.zone, worker.kind, worker.cell, worker.state, rating, worker.started_at
+            worker.frozen_rating = None
+        return list_entry(
+            worker.name, worker.zone, worker.worker_type, worker.cell, worker.state, rating, worker.started_at
         )
 
 
-def spelled(value: Any) -> str:
+def rendered(value: Any) -> str:
     if value is None:
         return "-"
     return str(int(value)) if isinstance(value, bool) else str(value)
 
 
-ANY = Class("any", objective=320_000, deadline=5_000_000)
-ZONED = Class("zoned", "idempotent-with-key", "zone", memory=2_000_000)
-CELLED = Class("celled", "idempotent-with-key", "cell", memory=1_500_000, objective=600_000)
-EVERYWHERE = Class("everywhere", "idempotent-with-key", "all", deadline=4_000_000)
-ONCE = Class("once", "at-most-once", objective=400_000, deadline=4_000_000)
+ANY = ClassSettings("any", latency_objective=320_000, timeout=5_000_000)
+ZONED = ClassSettings("zoned", "idempotent-with-key", "zone", deduplication_window=2_000_000)
+CELLED = ClassSettings(
+    "celled", "idempotent-with-key", "cell", deduplication_window=1_500_000, latency_objective=600_000
+)
+EVERYWHERE = ClassSettings("everywhere", "idempotent-with-key", "all", timeout=4_000_000)
+ONCE = ClassSettings("once", "at-most-once", latency_objective=400_000, timeout=4_000_000)
 MIXED = [ANY, ZONED, CELLED, EVERYWHERE, ONCE]
 BOUND = [
     ANY,
-    Class("one-kind", kind="slow"),
-    Class("two-kinds", kinds=frozenset({"fast", "standard"})),
-    Class("one-zone", "idempotent-with-key", "all", zones=frozenset({"zone-1"})),
+    ClassSettings("one-kind", worker_type="slow"),
+    ClassSettings("two-kinds", worker_types=frozenset({"fast", "standard"})),
+    ClassSettings("one-zone", "idempotent-with-key", "all", zones=frozenset({"zone-1"})),
 ]
 LIVE = Settings(
     MIXED,
-    fleet=2,
-    live=True,
-    close_within=250_000,
-    connection_price=0.01,
-    crossing_price=0.005,
+    dispatcher_count=2,
+    has_live_ratings=True,
+    close_idle_within=250_000,
+    connection_cost=0.01,
+    cross_zone_cost=0.005,
     zone="zone-0",
-    idle_close=2_000_000,
-    worst_class=0.4,
+    idle_timeout=2_000_000,
+    worst_class_weight=0.4,
 )
 QUOTAS = {"dairy": 6.25, "goats": 2.5, "sheep": 1.25}
 
 WORKLOADS = {
-    "mixed": Workload(Settings(MIXED), 1, key_odds=0.3, error_odds=0.1, fault_odds=0.03),
-    "live": Workload(LIVE, 2, key_odds=0.2, gap=20_000, trouble_odds=0.08, list_odds=0.3),
-    "live-overload": Workload(LIVE, 3, gap=8_000, run=400_000, requests=500, list_odds=0.02),
-    "once": Workload(Settings([ONCE, Class("once-more", "at-most-once")], fleet=1), 4, trouble_odds=0.15),
+    "mixed": Workload(
+        Settings(MIXED), 1, key_probability=0.3, error_probability=0.1, malformed_probability=0.03
+    ),
+    "live": Workload(
+        LIVE,
+        2,
+        key_probability=0.2,
+        arrival_gap=20_000,
+        health_change_probability=0.08,
+        list_change_probability=0.3,
+    ),
+    "live-overload": Workload(
+        LIVE, 3, arrival_gap=8_000, run_time=400_000, request_count=500, list_change_probability=0.02
+    ),
+    "once": Workload(
+        Settings([ONCE, ClassSettings("once-more", "at-most-once")], dispatcher_count=1),
+        4,
+        health_change_probability=0.15,
+    ),
     "sparse": Workload(
-        Settings(MIXED, fleet=40, must_ask=True, told_within=1_500_000, ask_within=3_000_000),
+        Settings(
+            MIXED, dispatcher_count=40, is_polled=True, notified_within=1_500_000, poll_within=3_000_000
+        ),
         5,
-        first_list="remembered",
-        workers=14,
-        gap=25_000,
+        first_list_kind="remembered",
+        worker_count=14,
+        arrival_gap=25_000,
     ),
     "shares": Workload(
-        Settings(MIXED, quotas=QUOTAS, beyond_quota=0.25, fleet=2),
+        Settings(MIXED, quotas=QUOTAS, beyond_quota_weight=0.25, dispatcher_count=2),
         6,
-        gap=12_000,
-        requests=500,
+        arrival_gap=12_000,
+        request_count=500,
         tenants=(None, "dairy", "goats", "sheep", "stranger"),
-        patient_odds=0.1,
+        background_probability=0.1,
     ),
     "bound": Workload(
-        Settings(BOUND, live=True, progress_every=0), 7, key_odds=0.3, list_odds=0.12, gap=25_000
+        Settings(BOUND, has_live_ratings=True, report_interval=0),
+        7,
+        key_probability=0.3,
+        list_change_probability=0.12,
+        arrival_gap=25_000,
     ),
     "unsent": Workload(
         Settings(
             MIXED,
             counts_unsent=False,
-            may_cancel=False,
-            tells_start=False,
-            progress_every=0,
-            longest_advice=0,
-            fleet=1,
+            can_cancel=False,
+            reports_start=False,
+            report_interval=0,
+            max_retry_after=0,
+            dispatcher_count=1,
         ),
         8,
-        patient_odds=0.2,
-        trouble_odds=0.2,
-        requests=250,
+        background_probability=0.2,
+        health_change_probability=0.2,
+        request_count=250,
     ),
     "many-keys": Workload(
-        Settings([ANY, ONCE], fleet=2, progress_every=0),
+        Settings([ANY, ONCE], dispatcher_count=2, report_interval=0),
         9,
-        key_odds=1.0,
+        key_probability=1.0,
         keys=1_000_000,
-        requests=1150,
-        run=60_000,
-        gap=30_000,
-        list_odds=0.0,
-        trouble_odds=0.01,
+        request_count=1150,
+        run_time=60_000,
+        arrival_gap=30_000,
+        list_change_probability=0.0,
+        health_change_probability=0.01,
     ),
     "reloads": Workload(
         LIVE,
         10,
         reloads=(
-            Settings(MIXED, fleet=6, most_attempts=5),
-            Settings([ANY, ZONED], step=8_000, fleet=1),
-            Settings(MIXED, fleet=30, cold_margin=0.5, worst_class=0.0),
+            Settings(MIXED, dispatcher_count=6, max_attempts=5),
+            Settings([ANY, ZONED], round_interval=8_000, dispatcher_count=1),
+            Settings(MIXED, dispatcher_count=30, slow_start_margin=0.5, worst_class_weight=0.0),
             LIVE,
         ),
     ),
     "sick": Workload(
-        Settings([ANY, EVERYWHERE], fleet=2, most_attempts=6),
+        Settings([ANY, EVERYWHERE], dispatcher_count=2, max_attempts=6),
         11,
-        all_sick=True,
-        trouble_odds=0.3,
-        list_odds=0.02,
-        error_odds=0.2,
+        is_mostly_unhealthy=True,
+        health_change_probability=0.3,
+        list_change_probability=0.02,
+        error_probability=0.2,
+    ),
+    "restarts": Workload(
+        Settings(MIXED, dispatcher_count=8, warmup=20_000_000),
+        12,
+        list_change_probability=0.5,
+        arrival_gap=20_000,
     ),
-    "restarts": Workload(Settings(MIXED, fleet=8, warm_after=20_000_000), 12, list_odds=0.5, gap=20_000),
     "live-restarts": Workload(
-        Settings(MIXED, fleet=12, live=True, warm_after=20_000_000),
+        Settings(MIXED, dispatcher_count=12, has_live_ratings=True, warmup=20_000_000),
         13,
-        list_odds=0.4,
-        gap=20_000,
-        requests=250,
-        workers=6,
+        list_change_probability=0.4,
+        arrival_gap=20_000,
+        request_count=250,
+        worker_count=6,
     ),
 }
 
-# --- what was recorded
+# --- recorded results
 
 
 @dataclass(frozen=True)
 class Recorded:
-    """Digest of the commands without logs, digest of when and where logs came, and how many of each."""
+    """Digest of the commands without logs, digest of the times and positions of logs, and counts by tag."""
 
     commands: str
     logs: str
@@ -964,14 +1014,14 @@
     ),
 }
 
-played: dict[str, Run] = {}
+finished_runs: dict[str, Run] = {}
 
 
 def run_of(name: str) -> Run:
-    if name not in played:
-        played[name] = Run(WORKLOADS[name])
-        played[name].play()
-    return played[name]
+    if name not in finished_runs:
+        finished_runs[name] = Run(WORKLOADS[name])
+        finished_runs[name].execute()
+    return finished_runs[name]
 
 
 @pytest.mark.parametrize("name", WORKLOADS)
@@ -985,30 +1035,30 @@
 def test_every_event_and_command_type_takes_part() -> None:
     runs = [run_of(name) for name in WORKLOADS]
     defined = {
-        one
-        for one in vars(event_module).values()
-        if isinstance(one, type) and one.__module__ == event_module.__name__
+        event_type
+        for event_type in vars(event_module).values()
+        if isinstance(event_type, type) and event_type.__module__ == event_module.__name__
     }
-    given = {one for run in runs for one in run.event_types}
-    assert given == {one for one in defined if one.__name__ not in EVENT_PARTS}
-    ordered = {tag for run in runs for tag in run.counts}
-    assert ordered == {rendering.tag for rendering in COMMANDS.values()} - NEVER_ORDERED
+    used = {event_type for run in runs for event_type in run.event_types}
+    assert used == {event_type for event_type in defined if event_type.__name__ not in EVENT_PARTS}
+    issued = {tag for run in runs for tag in run.counts}
+    assert issued == {rendering.tag for rendering in COMMANDS.values()} - NEVER_ISSUED
 
 
 def test_the_table_renders_every_command_and_field() -> None:
     defined = {
-        one
-        for one in vars(command_module).values()
-        if isinstance(one, type) and one.__module__ == command_module.__name__
+        command_type
+        for command_type in vars(command_module).values()
+        if isinstance(command_type, type) and command_type.__module__ == command_module.__name__
     }
     assert set(COMMANDS) == defined
-    left_out = {WriteLog: {"event"}, ReportInternalError: {"detail"}}
-    for one, rendering in COMMANDS.items():
-        names = {attribute.name for attribute in fields(one)}
-        assert set(rendering.attributes) == names - left_out.get(one, set())
+    not_rendered = {WriteLog: {"event"}, ReportInternalError: {"detail"}}
+    for command_type, rendering in COMMANDS.items():
+        names = {attribute.name for attribute in fields(command_type)}
+        assert set(rendering.attributes) == names - not_rendered.get(command_type, set())
 
 
-if __name__ == "__main__":  # what a run gives, to be compared by eye after a decision was changed on purpose
-    for each in WORKLOADS:
-        done = run_of(each)
-        print(each, done.commands_digest.hexdigest(), done.logs_digest.hexdigest(), dict(done.counts))
+if __name__ == "__main__":  # prints the results, for comparison after an intended change of a decision
+    for name in WORKLOADS:
+        run = run_of(name)
+        print(name, run.commands_digest.hexdigest(), run.logs_digest.hexdigest(), dict(run.counts))
