--- a/locktide/scheduler/policy/attempt_timeouts.py
+++ b/locktide/scheduler/policy/attempt_timeouts.py
@@ -78,7 +78,7 @@
         return self.clock.now - attempt.sent_at <= self.prompt_start
 
     def expect_start(self, attempt: Attempt, slack: float) -> None:
-        """Schedule the first check of an attempt that is being sent; `slack` is the slack of its request."""
+        """Schedule the first check of an attempt being sent; `slack` is its request's slack on arrival."""
         first_check = int(slack) // self._slack_per_first_check()
         self.timers.set(max(self.prompt_start, first_check), attempt)
 
--- a/locktide/scheduler/policy/outlier_detection.py
+++ b/locktide/scheduler/policy/outlier_detection.py
@@ -102,7 +102,7 @@
         endpoint.failures.add(1.0, now)
 
     def record_no_start(self, attempt: Attempt) -> None:
-        """Record a failure for an attempt that has not started, if its worker gave no sign of life since."""
+        """Record a failure for an unstarted attempt, if its worker gave no sign of life since it was sent."""
         if attempt.endpoint.last_heard_at < attempt.sent_at and not attempt.has_recorded_failure:
             attempt.has_recorded_failure = True
             attempt.no_start_recorded_at = self._clock.now
--- a/locktide/scheduler/state/endpoint.py
+++ b/locktide/scheduler/state/endpoint.py
@@ -79,7 +79,7 @@
         self.started_at = entry.started_at  # 0 if that is unknown or long ago
 
     def matches_entry(self, entry: EndpointEntry) -> bool:
-        """Return whether the entry is the same as before, apart from the rating."""
+        """Return whether the entry equals the last one, apart from the rating."""
         return (
             self.state == entry.state
             and self.started_at == entry.started_at
--- a/locktide/scheduler/state/recovery.py
+++ b/locktide/scheduler/state/recovery.py
@@ -34,7 +34,5 @@
         # one: workers there do not know the idempotency key. Workers in the former zone or cell drop repeats.
         if endpoint is None or (endpoint.zone, endpoint.cell) != (earlier.zone, earlier.cell):
             entry = EndpointEntry(earlier.worker, earlier.zone, "", earlier.cell, EndpointState.GONE, 1.0, 0)
-            return Endpoint(
-                entry, concurrency_limit=1.0
-            )  # the value has no effect, as nothing is sent to this endpoint
+            return Endpoint(entry, concurrency_limit=1.0)  # the limit is not used: nothing is sent to it
         return endpoint
--- a/locktide/scheduler/state/request.py
+++ b/locktide/scheduler/state/request.py
@@ -89,9 +89,7 @@
         self.request = request
         self.number = number
         self.endpoint = endpoint
-        self.zone = (
-            endpoint.zone
-        )  # at the time of sending, even if the worker is listed in another zone since
+        self.zone = endpoint.zone  # at the time of sending; the worker may be listed elsewhere since
         self.cell = endpoint.cell
         self.width = request.width
         self.commanded_at = now  # when its `StartAttempt` was issued
