--- a/locktide/durable/job_service.py
+++ b/locktide/durable/job_service.py
@@ -138,7 +138,7 @@
 
         The class alone is not enough: a recovered job whose class is no longer durable would get no lease,
         its worker's report would count as late, and the job would never end
-        (test_job_of_a_class_that_is_durable_no_more_gets_a_lease_and_its_report_counts).
+        (test_job_of_a_class_that_is_no_longer_durable_gets_a_lease_and_its_report_counts).
         """
         if request.message.service_class in self.config.service_classes:
             return True
--- a/locktide/durable/leases.py
+++ b/locktide/durable/leases.py
@@ -17,7 +17,7 @@
 
 Verified in `tests/durable/test_leases.py` by `test_fencing_number_is_above_that_of_an_earlier_process` (2),
 `test_silent_worker_holds_a_job_no_longer_than_its_lease`,
-`test_report_after_the_end_of_a_lease_is_fenced_before_anybody_has_noticed` (3) and the model `LeaseModel`
+`test_report_after_a_lease_expired_is_fenced_before_the_next_check` (3) and the model `LeaseModel`
 (2 and 3), and in `tests/durable/test_crashes.py` by
 `test_dispatcher_killed_at_a_crash_point_loses_and_duplicates_no_job` (1) and
 `test_hung_worker_loses_its_lease_and_its_late_report_has_no_effect` (3 and 4).
--- a/locktide/durable/log/write_ahead_log.py
+++ b/locktide/durable/log/write_ahead_log.py
@@ -13,11 +13,10 @@
    records that were acknowledged, and the start is refused.
 5. Older segments are removed only after a complete snapshot of their jobs is on the disk (`compaction`).
 
-Verified by `tests/durable/log/test_write_ahead_log.py`:
-`test_acknowledged_records_survive_a_crash` (1, 2 and 4),
-`test_full_disk_rejects_a_record_and_loses_no_other`, `test_record_that_cannot_be_taken_back_ends_all_writing`
-and `test_no_write_succeeds_after_a_failed_sync` (3),
-`test_full_disk_at_the_start_of_a_segment_leaves_no_file_behind` and
+Verified by `tests/durable/log/test_write_ahead_log.py`: `test_acknowledged_records_survive_a_crash` (1, 2 and
+4), `test_full_disk_rejects_a_record_and_loses_no_other`,
+`test_partial_write_that_cannot_be_removed_ends_all_writing` and `test_no_write_succeeds_after_a_failed_sync`
+(3), `test_full_disk_at_the_start_of_a_segment_leaves_no_file_behind` and
 `test_damaged_log_is_refused_unless_damage_is_skipped` (4),
 `test_compaction_keeps_open_jobs_and_drops_finished_ones` (5); and by `tests/durable/test_crashes.py` with
 whole dispatchers killed at each crash point.
--- a/tests/durable/conftest.py
+++ b/tests/durable/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of tests of durable jobs."""
+"""Fixtures for the tests of durable jobs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def installation(tmp_path: Path) -> Iterator[ServedInstallation]:
-    """An installation whose file the test writes; its dispatchers are killed at the end of the test."""
+    """An installation whose file the test writes; its dispatchers are killed after the test."""
     served = ServedInstallation(tmp_path / "here.toml")
     yield served
     served.stop()
--- a/tests/durable/log/test_framing.py
+++ b/tests/durable/log/test_framing.py
@@ -1,4 +1,4 @@
-"""Framing of records: what a crash cuts off, changed bytes, sectors of zeros."""
+"""Framing of records: torn ends, changed bytes and sectors of zeros."""
 
 from __future__ import annotations
 
@@ -15,46 +15,47 @@
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.binary(min_size=1, max_size=300), max_size=12), st.data())
 def test_records_before_a_cut_are_read_and_nothing_else(payloads: list[bytes], data: Any) -> None:
-    """A crash cuts the file at any byte.
+    """Guard against a refused start after a crash that truncated the last segment at any byte.
 
-    Each record before the cut must be read, and the cut one must count as torn, not as damage: a start
-    would be refused for it.
+    Each record before the cut must be read. The truncated record must count as torn and not as damaged,
+    because a start is refused if a record is damaged.
     """
     framed = [framing.encode_frame(payload) for payload in payloads]
-    whole = framing.encode_header(1) + b"".join(framed)
-    cut = data.draw(st.integers(framing.HEADER.size, len(whole)))
-    read = list(framing.read_frames(whole[:cut]))
-    good = [item.payload for item in read if isinstance(item, FramedPayload)]
-    assert good == payloads[: len(good)]
+    segment = framing.encode_header(1) + b"".join(framed)
+    cut = data.draw(st.integers(framing.HEADER.size, len(segment)))
+    items = list(framing.read_frames(segment[:cut]))
+    intact = [item.payload for item in items if isinstance(item, FramedPayload)]
+    assert intact == payloads[: len(intact)]
     ends = [framing.HEADER.size + sum(map(len, framed[: n + 1])) for n in range(len(framed))]
-    assert len(good) == sum(end <= cut for end in ends)
-    if len(read) > len(good):
-        assert read[-1].fault_type == FaultType.TORN  # type: ignore[union-attr]
+    assert len(intact) == sum(end <= cut for end in ends)
+    if len(items) > len(intact):
+        assert items[-1].fault_type == FaultType.TORN  # type: ignore[union-attr]
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**31), st.integers(0, 7))
-def test_flipped_bit_before_the_last_record_is_damage(place: int, bit: int) -> None:
-    """A bit changes at rest, in any byte of a record that others follow.
+def test_flipped_bit_before_the_last_record_is_damage(position: int, bit: int) -> None:
+    """Guard against valid records that are cut off because a changed bit is taken for a torn write.
 
-    Also where the changed bytes are a length that ends behind the file, it must not be taken for a write
-    that was cut short, because the records behind it would be cut off with it.
+    A bit changes on the disk in any byte of a record that others follow. This must count as damage, also if
+    the changed bytes are a length that reaches beyond the end of the file.
     """
     framed = [framing.encode_frame(records.encode(accepted_job(f"job-{number}"))) for number in range(6)]
-    whole = bytearray(framing.encode_header(1) + b"".join(framed))
-    place = framing.HEADER.size + place % (len(whole) - framing.HEADER.size - len(framed[-1]))
-    whole[place] ^= 1 << bit
-    read = list(framing.read_frames(bytes(whole)))
-    assert isinstance(read[-1], FramingFault) and read[-1].fault_type == FaultType.DAMAGED
+    segment = bytearray(framing.encode_header(1) + b"".join(framed))
+    position = framing.HEADER.size + position % (len(segment) - framing.HEADER.size - len(framed[-1]))
+    segment[position] ^= 1 << bit
+    items = list(framing.read_frames(bytes(segment)))
+    assert isinstance(items[-1], FramingFault) and items[-1].fault_type == FaultType.DAMAGED
 
 
 def test_zero_sectors_at_the_end_are_torn() -> None:
-    """A file system has made a file longer before a crash, but not written all of its sectors.
+    """Guard against a refused start when a crash left sectors at the end of a file unwritten.
 
-    They read as zeros. The record that reaches into them was acknowledged to nobody: it must count as torn.
+    The file was extended before the crash, and the missing sectors read as zeros. The record that extends
+    into them was never acknowledged: it must count as torn.
     """
-    whole = framing.encode_header(1) + framing.encode_frame(b"x" * 100) + framing.encode_frame(b"y" * 3000)
-    edge = 2 * framing.SECTOR
-    torn = list(framing.read_frames(whole[:edge] + bytes(len(whole) - edge)))
+    segment = framing.encode_header(1) + framing.encode_frame(b"x" * 100) + framing.encode_frame(b"y" * 3000)
+    boundary = 2 * framing.SECTOR
+    torn = list(framing.read_frames(segment[:boundary] + bytes(len(segment) - boundary)))
     assert [item.payload for item in torn[:-1]] == [b"x" * 100]  # type: ignore[union-attr]
     assert torn[-1].fault_type == FaultType.TORN  # type: ignore[union-attr]
--- a/tests/durable/log/test_stored_outcomes.py
+++ b/tests/durable/log/test_stored_outcomes.py
@@ -1,4 +1,4 @@
-"""The stored spellings of attempt outcomes: complete both ways, and the same in bytes."""
+"""The stored spellings of attempt outcomes: complete in both directions and unchanged in bytes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 from locktide.scheduler.types import PROVEN_NOT_RUN, AttemptOutcome
 
-# Written down here once more: a change of the table that is no mistake needs a change of the stored format.
+# Repeated here so that an accidental change of the table fails: any change is one of the stored format.
 SPELLINGS = {
     "DONE": "done",
     "ERROR": "error",
@@ -47,10 +47,10 @@
 
 
 def test_outcome_of_a_later_program_is_read_as_possibly_executed() -> None:
-    """A log is opened by a program that is older than the one that wrote it, after a rollback.
+    """Guard against a second run of a job when a log with an unknown outcome is read after a rollback.
 
-    It meets an outcome that it does not know. Were it read as proof that the job never ran, a job that must
-    run at most once would be sent again. It must count as an attempt that has ended and may have run.
+    If the outcome counted as proof that the job never ran, a job that must run at most once would be sent
+    again. It must count as an attempt that has ended and may have run.
     """
     outcome = decode_outcome(StoredOutcome("an outcome of later"))
     assert outcome is AttemptOutcome.RESET and outcome not in PROVEN_NOT_RUN
--- a/tests/durable/test_crashes.py
+++ b/tests/durable/test_crashes.py
@@ -1,4 +1,4 @@
-"""Dispatchers that are killed, in virtual time and as real processes, lose and duplicate no job."""
+"""Dispatchers that are killed lose and duplicate no job, in virtual time and as real processes."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 limit = 9.0
 effect = "at-most-once"
 """
-POINTS = sorted(set(get_args(script.CrashPoint)) - set(script.WORKER_CRASH_POINTS))
+CRASH_POINTS = sorted(set(get_args(script.CrashPoint)) - set(script.WORKER_CRASH_POINTS))
 
 
 def run_report(text: str) -> dict[str, Any]:
@@ -53,13 +53,12 @@
     return durable
 
 
-@pytest.mark.parametrize("point", POINTS)
+@pytest.mark.parametrize("point", CRASH_POINTS)
 def test_dispatcher_killed_at_a_crash_point_loses_and_duplicates_no_job(point: str) -> None:
-    """A dispatcher dies between two steps of a write, three times in a run, and is started again each time.
+    """Guard against a lost or repeated job when a dispatcher is killed between two steps of a write.
 
-    A job that it had acknowledged could be lost, or one that may have run could be sent again. Each
-    accepted job must get one final response, and no effect that must not happen twice may be recorded
-    twice.
+    The dispatcher is killed and restarted three times in a run. Each accepted job must get exactly one final
+    response, and no effect that must not happen twice may be recorded twice.
     """
     text = SCENARIO
     for at in (1.0, 3.0, 5.0):
@@ -70,10 +69,10 @@
 
 
 def test_dispatcher_killed_again_during_recovery_loses_and_duplicates_no_job() -> None:
-    """All dispatchers die four times at short intervals, so that most recoveries are cut short.
+    """Guard against a recovery that leaves the log in a worse state when it is interrupted.
 
-    A recovery that is not finished must leave the log as good as it was: the next one starts from the same
-    jobs.
+    All dispatchers are killed four times at short intervals, so that most recoveries are interrupted. Each
+    recovery must start from the same jobs as the interrupted one.
     """
     text = SCENARIO
     for at in (2.0, 2.75, 3.5, 4.25):
@@ -82,10 +81,11 @@
 
 
 def test_hung_worker_loses_its_lease_and_its_late_report_has_no_effect() -> None:
-    """Two workers hang with jobs for nine seconds, and report their ends when they go on.
+    """Guard against late reports that finish or repeat a job after its lease has expired.
 
-    Their leases have expired by then, and other workers may have done the jobs. The late reports must
-    change nothing, no job may be done twice that must not be, and most jobs must still be done.
+    Two workers hang with jobs for nine seconds and report the ends of the jobs afterwards, when other workers
+    may have done them. The late reports must have no effect, no job that must not run twice may be done
+    twice, and most jobs must still be done.
     """
     text = SCENARIO + '[[incident]]\nat = 2.0\nfor = 9.0\nwhat = "hang"\nwhom = "w0,w3"\n'
     report = run_report(text)
@@ -94,27 +94,27 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_random_scenarios_with_kills_lose_and_duplicate_no_job(seed: int) -> None:
-    """Dispatchers are killed at random moments, beside random faults of workers, links and discovery.
+    """Guard against combinations of faults that lose or duplicate a job.
 
-    Whatever comes together, no accepted job may be lost or duplicated.
+    Dispatchers are killed at random moments, together with random faults of workers, links and discovery.
     """
     check_report(in_virtual_time(random_scenario.draw(seed, durable=True)).told)
 
 
 def test_killed_processes_on_a_real_disk_lose_and_duplicate_no_job(tmp_path: Path) -> None:
-    """The same with real processes, SIGKILL and files: the simulated disk may be kinder than a real one.
+    """Guard against faults that the simulated disk hides, with real processes, SIGKILL and files.
 
-    No accepted job may be lost or duplicated, and the restarted processes must say that they recovered jobs.
+    No accepted job may be lost or duplicated, and the restarted processes must log that they recovered jobs.
     """
     text = SCENARIO.replace("length = 8.0", "length = 5.0").replace("limit = 30.0", "limit = 15.0")
     text += '[[incident]]\nat = 1.5\nfor = 0.5\ngap = 1.5\nspread = 0.0\nwhom = "all"\n'
     text += 'what = "kill-dispatcher"\n'
-    played = asyncio.run(on_loopback(script.parse(text), ROOT, tmp_path))
-    durable: dict[str, int] = played.told["durable"]
-    assert durable["lost"] == 0 and played.told["doubled_records"] == 0 and durable["kills"] == 2
-    assert not any(played.told["rules"].values()), played.told["broken"][:3]
+    run_result = asyncio.run(on_loopback(script.parse(text), ROOT, tmp_path))
+    durable: dict[str, int] = run_result.told["durable"]
+    assert durable["lost"] == 0 and run_result.told["doubled_records"] == 0 and durable["kills"] == 2
+    assert not any(run_result.told["rules"].values()), run_result.told["broken"][:3]
     assert durable["accepted"] == durable["done"] + durable["denied"] + durable["terminated"] > 15
-    assert any("jobs_recovered" in line and "records=0" not in line for line in played.said)
+    assert any("jobs_recovered" in line and "records=0" not in line for line in run_result.said)
 
 
 @pytest.mark.parametrize("unsupported", ["[dispatcher.settings]\nStep = 8.0\n", "[roster]\ncall = 0.1\n"])
--- a/tests/durable/test_disk.py
+++ b/tests/durable/test_disk.py
@@ -1,4 +1,4 @@
-"""Storage in a directory: one process at a time."""
+"""Storage in a directory, which only one process may use at a time."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 def test_second_dispatcher_is_refused_the_directory(tmp_path: Path) -> None:
-    """An operator starts a second dispatcher with the directory of one that runs.
+    """Guard against two dispatchers that append to the same log and resume each other's jobs.
 
-    Both would append to one log, and each would resume the jobs of the other. The second start must be
-    refused and change no file, whether it is in another process or in the same; after a stop of the first
-    it must succeed.
+    An operator starts a second dispatcher with the directory of a running one. The start must be refused and
+    change no file, in another process as well as in the same one. After the first has stopped it must
+    succeed.
     """
     first = WriteAheadLog(DirectoryStorage(tmp_path), 1 << 20)
     first.open()
--- a/tests/durable/test_job_states.py
+++ b/tests/durable/test_job_states.py
@@ -1,4 +1,4 @@
-"""The platform's words for the states of a job: complete, distinct, and read by clients."""
+"""The words of the platform's protocol for the states of a job: complete, distinct and unchanged."""
 
 from __future__ import annotations
 
--- a/tests/durable/test_late_reports.py
+++ b/tests/durable/test_late_reports.py
@@ -1,4 +1,4 @@
-"""Late reports: what is written of them, and what is not."""
+"""Late reports: which of them are recorded, and which are not."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 def final_report(worker: str) -> Callback:
-    """Return the report that a worker has failed at the job."""
+    """Return the report of a worker that the job has failed."""
     return Callback("a", worker, "failed", 0.0, AttemptOutcome.ERROR, b"")
 
 
 async def job_with_a_lease(log: WriteAheadLog) -> Job:
-    """Write a job that a worker has a lease on."""
+    """Write a job and a lease on it, and return the job."""
     await log.append(accepted_job("a"))
     await log.append(granted_lease("a", worker="w0"))
     return log.table.jobs["a"]
 
 
 def test_late_report_that_is_sent_again_is_recorded_once() -> None:
-    """A worker whose lease has expired reports its end, gets no response in time, and reports it again.
+    """Guard against a second record of a late report that a worker repeats after a missing response.
 
-    Each report costs a sync of the disk, and operators would take two records for two events. The second
-    one must be acknowledged without a record. A report under another lease is another event.
+    Each record costs a sync of the disk, and operators would take two records for two events. The repetition
+    must be acknowledged without a record. A report under another lease is another event.
     """
 
     async def scenario() -> None:
@@ -49,9 +49,10 @@
 
 
 def test_late_reports_of_a_job_are_limited() -> None:
-    """Something that is no worker of ours reports the end of one job under ever new names.
+    """Guard against an unlimited number of late reports of one job, sent under ever new worker names.
 
-    Each report would be written to the disk and read at every start. Only so many may be recorded of a job.
+    Each report would be written to the disk and read at every start. At most `MAX_LATE_REPORTS` may be
+    recorded for a job.
     """
 
     async def scenario() -> None:
--- a/tests/durable/test_leases.py
+++ b/tests/durable/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases against a model."""
+"""Leases, compared with a model and in single cases."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class ModelLease:
-    """What the model knows of one lease."""
+    """The state of one lease in the model."""
 
     job_id: str
     worker: str
@@ -27,7 +27,7 @@
 
 
 class LeaseModel(RuleBasedStateMachine):
-    """The lease table against a plain list of what was granted and reported."""
+    """Compares the lease table with a plain list of leases."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -37,31 +37,31 @@
 
     @rule(job_id=st.sampled_from("ab"), worker=st.sampled_from("xyz"))
     def grant(self, job_id: str, worker: str) -> None:
-        """Grant a lease: its fencing number is the next of its job."""
+        """Grant a lease; check that its fencing number is the next one of its job."""
         lease = self.leases.grant(job_id, worker, self.now)
         earlier_fences = [granted.fence for granted in self.granted if granted.job_id == job_id]
         assert lease.fence == max(earlier_fences, default=0) + 1
         self.granted.append(ModelLease(job_id, worker, lease.fence, self.now + 20 * SECOND))
 
-    @rule(span=st.integers(1, 9 * SECOND))
-    def wait(self, span: int) -> None:
-        """Let time go by."""
-        self.now += span
+    @rule(duration=st.integers(1, 9 * SECOND))
+    def wait(self, duration: int) -> None:
+        """Advance the time."""
+        self.now += duration
 
     @rule(
         index=st.integers(0, 30), is_final=st.booleans(), has_started=st.booleans(), names_fence=st.booleans()
     )
     def report(self, index: int, is_final: bool, has_started: bool, names_fence: bool) -> None:
-        """Report under any lease, also one that has ended: only one in force is renewed or ended."""
+        """Report under any lease; check that only one that has not ended or expired is renewed or ended."""
         if not self.granted:
             return
         chosen = self.granted[index % len(self.granted)]
-        of_same_worker = [
+        leases_of_worker = [
             granted
             for granted in self.granted
             if (granted.job_id, granted.worker) == (chosen.job_id, chosen.worker)
         ]
-        lease = chosen if names_fence else of_same_worker[-1]
+        lease = chosen if names_fence else leases_of_worker[-1]
         fence = chosen.fence if names_fence else None
         report = WorkerReport(chosen.job_id, chosen.worker, fence, is_final, has_started)
         result = self.leases.apply_report(report, self.now)
@@ -80,7 +80,7 @@
 
     @rule()
     def expire(self) -> None:
-        """End the leases that have run out: those and no others, each once."""
+        """End the expired leases; check that each of them ends once, and no other lease ends."""
         expired = [(lease.job_id, lease.fence) for lease in self.leases.expire(self.now)]
         expected = [
             granted for granted in self.granted if not granted.has_ended and self.now >= granted.expires_at
@@ -102,12 +102,11 @@
 
 
 def test_silent_worker_holds_a_job_no_longer_than_its_lease() -> None:
-    """A worker reports that a job has started, hangs, and reports its end after another worker has got the
-    job.
+    """Guard against a late report that finishes a job after another attempt of the job has begun.
 
-    Were its report to count, the job would be finished with a result that the second worker may contradict.
-    Its lease must end by its time, the second lease must have a greater fencing number, and the late report
-    must be fenced while that of the second worker counts.
+    A worker reports that a job has started, and hangs until its lease has expired. The second lease must have
+    a greater fencing number, the late report under the first must be fenced, and the report under the second
+    must count.
     """
     leases = LeaseTable(LEASE_CONFIG)
     leases.grant("a", "x", 0)
@@ -122,12 +121,12 @@
     assert second.fence == 2 and leases.apply_report(final, 8 * SECOND) == ReportResult.ENDED
 
 
-def test_report_after_the_end_of_a_lease_is_fenced_before_anybody_has_noticed() -> None:
-    """A worker reports in the quarter of a second between the end of its lease and the next check for ended
-    leases.
+def test_report_after_a_lease_expired_is_fenced_before_the_next_check() -> None:
+    """Guard against a report that counts after its lease has expired, because no check has run since.
 
-    The end must come by the clock and not by the check: else the report would count or not by chance, and
-    renew a lease that the scheduler is about to give up.
+    The checks for expired leases run every quarter of a second. Expiry must depend on the clock and not on
+    the check: otherwise chance decides whether a report counts, and it could renew a lease that is about to
+    end.
     """
     for is_final in (False, True):
         leases = LeaseTable(LEASE_CONFIG)
@@ -138,10 +137,10 @@
 
 
 def test_fencing_number_is_above_that_of_an_earlier_process() -> None:
-    """A dispatcher is restarted, and sends a job again whose lease of the earlier process had ended.
+    """Guard against a fencing number that is used again after a restart.
 
-    Ended leases are not taken over, so the table of the new process does not know them. With the same
-    number as an earlier lease, a late report under that one would be taken for one under the new lease.
+    Ended leases are not taken over, so that the table of the new process does not have them. If a new lease
+    had the number of an earlier one, a late report under the earlier lease would count for the new one.
     """
     leases = LeaseTable(LEASE_CONFIG)
     assert leases.grant("a", "x", 0, last_fence=7).fence == 8
@@ -149,10 +148,10 @@
 
 
 def test_lease_of_an_earlier_process_lasts_for_a_heartbeat_at_least() -> None:
-    """A dispatcher was down for longer than the lease of a worker that has gone on with its job.
+    """Guard against the immediate expiry of leases after a downtime longer than a lease.
 
-    What the worker reported meanwhile is lost, so it looks silent. It must get the time of one heartbeat to
-    report, and a lease that lasts longer must keep its time.
+    The reports that the worker sent during the downtime are lost. The worker must have one heartbeat timeout
+    to report again, and a lease that lasts longer must keep its expiry.
     """
     leases = LeaseTable(LEASE_CONFIG)
     leases.take_over(Lease("a", 1, "x", expires_at=20 * SECOND), now=60 * SECOND)
--- a/tests/durable/test_recovered_jobs.py
+++ b/tests/durable/test_recovered_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of an earlier process beside requests of this one: ids, leases, and for whom they count."""
+"""Jobs of an earlier process together with requests of this one: their ids, leases and tenants."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     durable_classes: Collection[str] = ("record",),
     disk: VirtualDisk | None = None,
 ) -> JobService:
-    """Write jobs by one process, and return the service of the next one, which has begun to resume them."""
+    """Write jobs to a log, and return the job service of a next process that has begun to resume them."""
     disk = disk or VirtualDisk(1, 0.0)
     earlier = open_log(disk)
     await asyncio.gather(*[earlier.append(job) for job in jobs])
@@ -45,32 +45,33 @@
 
 
 def test_no_request_gets_the_id_of_a_job_that_is_not_resumed_yet() -> None:
-    """Many jobs were recovered, which are resumed at a limited rate, and a client used the id of one of them.
+    """Guard against a request that gets the id of a recovered job and then no response.
 
-    Its request, of a class that is not durable, was accepted; the job then displaced it among the open
-    requests, and its client got no response. An id of a job is in use, whether or not the job is resumed.
+    Recovered jobs are resumed at a limited rate. A request of a class that is not durable was accepted with
+    the id of a job that was not resumed yet, and the job later replaced it among the open requests. The id of
+    a job is in use, whether or not the job is resumed.
     """
 
-    async def story(play: HandPlayed) -> None:
+    async def scenario(play: HandPlayed) -> None:
         service = await recover(play, [accepted_job("a"), accepted_job("b")])
         await wait_until_resumed(play, "a")
-        assert "b" not in play.node.registry.open_requests, "it is resumed later"
+        assert "b" not in play.node.registry.open_requests, "job b is resumed later"
         assert service.submit(submission("b")) is None
         await wait_until_resumed(play, "b")
         assert play.node.registry.open_requests["b"].message.background
         await service.close()
 
-    run_story(story)
+    run_story(scenario)
 
 
-def test_job_of_a_class_that_is_durable_no_more_gets_a_lease_and_its_report_counts() -> None:
-    """An operator took a class out of the durable ones while jobs of it were open, and restarted.
+def test_job_of_a_class_that_is_no_longer_durable_gets_a_lease_and_its_report_counts() -> None:
+    """Guard against recovered jobs without a lease, after their class was removed from the durable classes.
 
-    The jobs were resumed without a lease: their attempts were on no disk, so that another crash would have
-    sent them again unseen, and their workers' reports counted as late, so that no job ever ended.
+    Their attempts were not on the disk, so that they would be sent again unnoticed after another crash. The
+    reports of their workers counted as late, so that the jobs never ended.
     """
 
-    async def story(play: HandPlayed) -> None:
+    async def scenario(play: HandPlayed) -> None:
         service = await recover(play, [accepted_job("a")], durable_classes=())
         await wait_until_resumed(play, "a")
         await until(lambda: play.asked)
@@ -89,18 +90,18 @@
         assert finished is not None and (finished.status, finished.body) == (200, b"milk")
         await service.close()
 
-    run_story(story)
+    run_story(scenario)
 
 
 def test_durable_job_counts_for_its_tenant_with_its_hint_and_its_affinity_key() -> None:
-    """A tenant sent durable jobs far beyond its quota, and was not held back.
+    """Guard against durable jobs that reach the scheduler without tenant, work hint and affinity key.
 
-    A durable job lost its tenant, its work hint and its affinity key on its way to the scheduler, when it
-    was new as well as when it was recovered. Both must arrive with what their client said.
+    Both new and recovered jobs lost these values, so that a tenant could exceed its quota by far without
+    being limited. Both must arrive with the values that the client sent.
     """
     extras = [(names.EXTRAS.encode(), b"slots=1, tenant=dairy, hint=40")]
 
-    async def story(play: HandPlayed) -> None:
+    async def scenario(play: HandPlayed) -> None:
         events: list[object] = []
         play.node.bridge.observers.append(events.append)
         recorded = accepted_job("a")
@@ -117,7 +118,7 @@
             assert arrival.affinity_key == crc32(b"7")
         await service.close()
 
-    run_story(story)
+    run_story(scenario)
 
 
 def arrivals_in(events: list[object]) -> list[RequestArrived]:
@@ -126,11 +127,11 @@
 
 
 def test_full_disk_costs_a_few_leases_a_second_and_the_job_goes_on_once_there_is_space() -> None:
-    """The disk was full when a dispatcher wanted to write the lease of an attempt.
+    """Guard against thousands of attempts per second while leases cannot be written to a full disk.
 
-    The attempt counted as never sent, the next one was given at once and failed as well: thousands a second
-    for each job, each kept in memory with its job, until the process was killed. It must try now and then,
-    and the job must be sent once there is space.
+    Each attempt counted as never sent, and the next one was started at once. All of them stayed in memory
+    with their job until the process was killed. The write must be retried a few times per second, and the job
+    must be sent once there is space.
     """
 
     async def scenario() -> None:
@@ -140,8 +141,8 @@
         disk.room = 5
         await asyncio.sleep(10.0)
         attempts = play.node.registry.open_requests["a"].attempts
-        assert 2 <= len(attempts) <= 30, "two a second and what came before"
-        assert not play.asked, "no byte without a lease on the disk"
+        assert 2 <= len(attempts) <= 30, "two per second, and those before the disk was full"
+        assert not play.asked, "nothing is sent without a lease on the disk"
         disk.room = None
         await asyncio.sleep(2.0)
         assert len(play.asked) == 1
--- a/tests/durable/test_recovery.py
+++ b/tests/durable/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: elapsed time, the plan, and what the scheduler makes of recovered attempts."""
+"""Recovery: the elapsed time, the plan, and how the scheduler treats recovered attempts."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 def test_elapsed_time_follows_the_boot_clock_when_the_wall_clock_is_set() -> None:
-    """The clock of a machine is set while no dispatcher runs, by ten minutes back or across a reboot.
+    """Guard against wrong deadlines and late retries when the clock is set while no dispatcher runs.
 
-    Deadlines of recovered jobs would be moved by as much, and a retry could come after its deduplication
-    window. On the same boot the uptime must count alone. On another boot a clock that was set back must
-    leave the elapsed time
-    unknown: no deadline is cut short, and no deduplication window is counted on.
+    The clock is set back by ten minutes, or across a reboot. Deadlines would move by as much, and a retry
+    could be sent after its deduplication window. On the same boot only the uptime must count. On another
+    boot, with a clock that was set back, the elapsed time must be unknown: no deadline is shortened, and
+    every deduplication window counts as over.
     """
     last_recorded_at = 1010 * SECOND
     same_boot = ClockReading(400 * SECOND, "boot", 90 * SECOND)
@@ -53,11 +53,11 @@
 
 
 def test_plan_finishes_waits_and_resumes_oldest_first() -> None:
-    """A dispatcher comes back after some seconds, with jobs in every state in its log.
+    """Guard against a wrong plan for any state that a job can have in the log.
 
-    A job past its deadline must get its final response, which depends on whether it may have run. A job
-    whose attempt may still run must be waited for, and the others resumed, oldest first, each with the rest
-    of its time.
+    A job past its deadline must get a final response whose status depends on whether the job may have run.
+    The dispatcher must wait for a pending attempt, and resume the other jobs, oldest first, each with the
+    time that it has left.
     """
     table = table_from(
         WRITER,
@@ -67,34 +67,34 @@
         accepted_job("gone", 900 * SECOND),
         accepted_job("gone and ran", 901 * SECOND),
         accepted_job("done", 1003 * SECOND),
-        granted_lease("old", at=1004 * SECOND, until=1020 * SECOND),
-        granted_lease("ran", at=1004 * SECOND),
+        granted_lease("old", granted_at=1004 * SECOND, expires_at=1020 * SECOND),
+        granted_lease("ran", granted_at=1004 * SECOND),
         AttemptEnded("ran", 1, STORED_OUTCOMES[AttemptOutcome.RESET], 1006 * SECOND),
-        granted_lease("gone and ran", at=1004 * SECOND),
+        granted_lease("gone and ran", granted_at=1004 * SECOND),
         JobFinished("done", 200, b"", 0, 1006 * SECOND),
     )
     now = 5000 * SECOND
     steps = recovery.plan(table, LeaseTable(LEASE_CONFIG), ElapsedBounds(4 * SECOND, 4 * SECOND), now)
     assert [step.job.job_id for step in steps] == ["gone", "gone and ran", "old", "ran", "new"]
-    ends = [step for step in steps if isinstance(step, FinishJob)]
-    assert [end.status for end in ends] == [503, 502]
+    finish_steps = [step for step in steps if isinstance(step, FinishJob)]
+    assert [finish_step.status for finish_step in finish_steps] == [503, 502]
     old, ran, new = (step for step in steps if isinstance(step, ResumeJob))
-    # Written at 1001 s and open for 100: 9 s later, on our clock, 91 are left.
+    # The job was accepted at 1001 s for 100 s. It is 9 s later, so that the job has 91 s left.
     assert old.deadline == now + 91 * SECOND and old.pending == [0] and old.attempts[0].outcome is None
     assert old.attempts[0].sent_at == now - 6 * SECOND
     assert ran.pending == [] and ran.attempts[0].outcome == AttemptOutcome.RESET and new.attempts == []
 
 
 def test_nothing_is_retried_after_the_clock_stepped_back() -> None:
-    """A machine comes back from a reboot with its clock set back; a job had been sent once before.
+    """Guard against a retry after an unknown time, when a machine reboots with its clock set back.
 
-    How long ago is not known, so the worker may have dropped its memory of the idempotency key, and a retry
-    would run the job twice. The attempt must count as older than any deduplication window.
+    The worker may no longer remember the idempotency key of the earlier attempt, and would run the job twice.
+    The attempt must count as older than any deduplication window.
     """
     table = table_from(
         WRITER,
         accepted_job("a", 1001 * SECOND),
-        granted_lease("a", at=1002 * SECOND),
+        granted_lease("a", granted_at=1002 * SECOND),
         AttemptEnded("a", 1, STORED_OUTCOMES[AttemptOutcome.RESET], 1003 * SECOND),
     )
     (step,) = recovery.plan(
@@ -104,12 +104,12 @@
 
 
 def test_recovered_lease_ends_with_its_job_at_the_latest() -> None:
-    """A job has three seconds left when its dispatcher comes back, and its worker stays silent.
+    """Guard against a lease that outlasts its job, whose client gets the final response at the deadline.
 
-    The worker gets the time of a heartbeat, five seconds. Its lease must not outlast the job, whose client
-    gets the final response at the deadline.
+    A job has three seconds left at the restart and its worker sends no report. The heartbeat timeout of five
+    seconds would extend the lease past the deadline of the job.
     """
-    table = table_from(WRITER, accepted_job("a", 1000 * SECOND), granted_lease("a", at=1000 * SECOND))
+    table = table_from(WRITER, accepted_job("a", 1000 * SECOND), granted_lease("a", granted_at=1000 * SECOND))
     leases = LeaseTable(LEASE_CONFIG)
     elapsed = ElapsedBounds(97 * SECOND, 97 * SECOND)
     now = 5000 * SECOND
@@ -125,7 +125,7 @@
 def recover_request(
     *attempts: RecoveredAttempt, service_class: str = "record", seconds: float = 2.0
 ) -> list[Any]:
-    """Return the commands of a scheduler for a request of an earlier process, over two seconds."""
+    """Return the commands of a scheduler for a recovered request, within `seconds` after the recovery."""
     config = terms(most=3, fleet=1, must_ask=False, worst_grade=0.4)
     scheduler = Scheduler(1, config)
     now = NOW
@@ -152,18 +152,20 @@
 
 
 def test_recovered_request_whose_attempt_may_still_run_is_waited_for() -> None:
-    """A dispatcher dies while a worker runs a job, and is back before the worker has finished.
+    """Guard against a second attempt beside one that still runs.
 
-    Another attempt would run beside the first. Nothing may be sent while the first has no outcome.
+    A dispatcher is killed while a worker runs a job, and restarted before the worker has finished. Nothing
+    may be sent while the first attempt has no outcome.
     """
     assert recover_request(earlier_attempt(None)) == []
 
 
 def test_recovered_request_that_may_have_run_is_retried_in_its_cell_on_another_worker() -> None:
-    """The connection of an attempt broke before the dispatcher died, so the job may have run.
+    """Guard against a retry in a cell that does not know the job's idempotency key.
 
-    Only workers of the same cell remember its idempotency key: elsewhere it would run twice. The cell is
-    the one that the worker had then, also where the worker is not listed any more.
+    The connection of an attempt broke before the crash, so that the job may have run; only workers of the
+    same cell remember its key. The cell of the attempt counts, also if the endpoint list no longer has the
+    worker.
     """
     commands = recover_request(earlier_attempt(AttemptOutcome.RESET))
     assert [command.worker for command in commands] == ["w2"]
@@ -172,40 +174,40 @@
 
 
 def test_recovered_request_past_its_deduplication_window_is_not_retried() -> None:
-    """The job may have run five seconds ago, and workers remember keys for four.
+    """Guard against a retry that no worker recognises as a repetition, so that the job runs twice.
 
-    A retry would not be recognised as a repeat and would run the job twice.
+    The job may have run five seconds ago, and workers remember idempotency keys for four.
     """
     commands = recover_request(earlier_attempt(AttemptOutcome.RESET, age=5 * SECOND))
     assert not [command for command in commands if isinstance(command, StartAttempt)]
 
 
 def test_recovered_request_sent_before_the_zero_of_the_clock_fails_at_once() -> None:
-    """A job was sent long ago, at a time that is negative on this process's clock, and may have run.
+    """Guard against a job that cannot be sent but waits until its deadline instead of failing at once.
 
-    The end of its deduplication window was negative, too, and was taken for "its repeats are always dropped":
-    nothing could be sent, but the job waited for a worker until its own deadline. It must fail at once.
+    The job was sent at a time that is negative on this process's clock. The end of its deduplication window
+    was negative, too, and was taken for the value that means that repetitions are always dropped.
     """
     commands = recover_request(earlier_attempt(AttemptOutcome.RESET, age=NOW + 5 * SECOND))
     assert [type(command) for command in commands] == [FailRequest]
 
 
 def test_background_job_is_failed_once_its_repeats_are_no_longer_dropped() -> None:
-    """A durable job may have run at a worker whose whole cell was lost then, four seconds before its end.
+    """Guard against a job that can no longer be retried but waits until its deadline, minutes later.
 
-    Only that cell could have it again, and only while it remembered the job's key. When the window was over
-    nothing could be sent any more, but the job waited on, until its own deadline minutes later. It must fail
-    when the window is over, and not before.
+    The job may have run on a worker whose whole cell was lost. Only that cell may get a retry, and only
+    within the deduplication window. The job must fail when the window is over, and not before.
     """
     attempt = earlier_attempt(AttemptOutcome.RESET, cell=7)
-    assert recover_request(attempt, seconds=2.9) == []  # three seconds of its window were left
+    assert recover_request(attempt, seconds=2.9) == []  # three seconds of the window are left
     assert [type(command) for command in recover_request(attempt, seconds=3.2)] == [FailRequest]
 
 
 def test_recovered_request_that_runs_at_most_once_fails_if_it_may_have_run() -> None:
-    """A job that must not run twice was sent before the crash, and may have run or not.
+    """Guard against a second run of a job that must run at most once and was sent before the crash.
 
-    It must fail rather than be sent again. Where a worker had declined it, it did not run, and must be sent.
+    If the attempt may have run, the job must fail. If the worker declined it, the job did not run and must be
+    sent again.
     """
     commands = recover_request(earlier_attempt(AttemptOutcome.RESET), service_class="cash")
     assert [type(command) for command in commands] == [FailRequest]
@@ -214,10 +216,10 @@
 
 
 def test_recovered_request_counts_attempts_that_may_have_run_but_no_declined_ones() -> None:
-    """A job in the background had all its attempts before the crash.
+    """Guard against a wrong count of the attempts that a background job had before the crash.
 
-    Attempts that workers declined do not count, as nobody waits for the job: it must be sent again.
-    Attempts that may have run count: the job must fail once it has had as many as it may have.
+    Attempts that workers declined do not count, because no client waits for the job: it must be sent again.
+    Attempts that may have run count: the job must fail once it has had the maximum number of attempts.
     """
     commands = recover_request(*[earlier_attempt(AttemptOutcome.FULL)] * 3)
     assert [type(command) for command in commands] == [StartAttempt]
--- a/tests/durable/test_write_order.py
+++ b/tests/durable/test_write_order.py
@@ -1,4 +1,4 @@
-"""What is on the disk before what: acceptance before dispatch, final response before anybody gets it."""
+"""The order of writes: an acceptance is stored before the dispatch, a final response before it is sent."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def job_request(prefer: bytes = b"") -> SubmitRequest:
-    """Return a request for a durable job, whose client gives up after nine seconds."""
+    """Return a request for a durable job, with a timeout of nine seconds."""
     return SubmitRequest(
         id="a",
         service_class="record",
@@ -31,16 +31,15 @@
 
 
 def test_job_is_dispatched_and_acknowledged_only_once_it_is_on_the_disk() -> None:
-    """A dispatcher dies while it writes a new job.
+    """Guard against a job that runs or is acknowledged although a crash has lost its record.
 
-    Had the job been dispatched before, a worker might run a job that no log knows; had it been
-    acknowledged, its client would wait for a job that is lost. Neither may happen before the sync has
-    ended, and both must happen after it.
+    A dispatcher that is killed while it writes a new job must neither have dispatched nor acknowledged the
+    job. Both must happen only after the sync has ended.
     """
 
     async def scenario() -> None:
-        platter = VirtualDisk(1, SYNC_TIME)
-        parts = JobParts(open_log(platter))
+        disk = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(disk))
         response = parts.acceptance.submit(job_request(b"respond-async"))
         assert response is not None
         await asyncio.sleep(0.9 * SYNC_TIME)
@@ -48,31 +47,31 @@
         assert not parts.state.is_accepted("a")
         assert (await response).status == 202
         assert parts.state.is_accepted("a")
-        # The time for the disk is taken from what is left for the job.
+        # The time of the sync is subtracted from the timeout of the job.
         assert parts.dispatcher.submitted == {"a": 100 * SECOND - round(SYNC_TIME * SECOND)}
-        platter.crash()
-        assert open_log(platter).table.jobs.keys() == {"a"}
+        disk.crash()
+        assert open_log(disk).table.jobs.keys() == {"a"}
 
     run_in_virtual_time(scenario())
 
 
 def test_job_that_cannot_be_written_is_rejected_and_never_dispatched() -> None:
-    """The disk is full when a client submits a job.
+    """Guard against a job that is acknowledged or dispatched although the disk is full.
 
-    The client must get a 503 with Retry-After rather than a promise, no worker may get the job, and the
-    same id must be accepted as a new job once there is space.
+    The client must get a 503 with Retry-After, no worker may get the job, and the same id must be accepted as
+    a new job once there is space.
     """
 
     async def scenario() -> None:
-        platter = VirtualDisk(1, SYNC_TIME)
-        parts = JobParts(open_log(platter))
-        platter.room = 10
+        disk = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(disk))
+        disk.room = 10
         rejected = parts.acceptance.submit(job_request())
         assert rejected is not None
         response = await rejected
         assert response.status == 503 and dict(response.headers)["Retry-After"]
         assert not parts.dispatcher.submitted and not parts.state.table.jobs
-        platter.room = None
+        disk.room = None
         accepted = parts.acceptance.submit(job_request())
         assert accepted is not None
         await asyncio.sleep(2 * SYNC_TIME)
@@ -82,15 +81,15 @@
 
 
 def test_final_response_is_sent_only_once_it_is_on_the_disk() -> None:
-    """A dispatcher dies while it writes the final response of a job.
+    """Guard against two different final responses of one job, before and after a crash.
 
-    Had its client got the response before, the restarted dispatcher would not know it, and might end the
-    same job with another one. The client must wait for the sync; after it the response must be in the log.
+    If the client got the response before the sync, a restarted dispatcher would not know it and might send
+    another one. The client must wait for the sync, after which the response must be in the log.
     """
 
     async def scenario() -> None:
-        platter = VirtualDisk(1, SYNC_TIME)
-        parts = JobParts(open_log(platter))
+        disk = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(disk))
         response = parts.acceptance.submit(job_request())
         assert response is not None
         await asyncio.sleep(2 * SYNC_TIME)
@@ -98,49 +97,47 @@
         await asyncio.sleep(0.9 * SYNC_TIME)
         assert not response.done() and not parts.state.is_final_response_stored("a")
         assert ((await response).status, (await response).body) == (200, b"collected")
-        platter.crash()
-        finished = open_log(platter).table.jobs["a"].finished
+        disk.crash()
+        finished = open_log(disk).table.jobs["a"].finished
         assert finished is not None and (finished.status, finished.body) == (200, b"collected")
 
     run_in_virtual_time(scenario())
 
 
 def test_final_response_is_written_again_until_the_disk_has_space() -> None:
-    """The disk is full when a job is done, and an operator frees space two seconds later.
+    """Guard against a lost result, when the disk is full until two seconds after a job is done.
 
-    The worker has done the job and will not do it again, so its result must not be lost: the client must
-    get it once it could be written, and the first response must count although another one comes up
-    meanwhile.
+    The worker will not run the job again. The client must get the result once it is written, and the first
+    response must count although another one is added meanwhile.
     """
 
     async def scenario() -> None:
-        platter = VirtualDisk(1, SYNC_TIME)
-        parts = JobParts(open_log(platter))
+        disk = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(disk))
         response = parts.acceptance.submit(job_request())
         assert response is not None
         await asyncio.sleep(2 * SYNC_TIME)
-        platter.room = 10
+        disk.room = 10
         parts.completion.finish("a", Response(200, b"collected"))
         await asyncio.sleep(2.0)
         assert not response.done()
         parts.completion.finish("a", Response(502, b"terminated"))
-        platter.room = None
+        disk.room = None
         assert ((await response).status, (await response).body) == (200, b"collected")
 
     run_in_virtual_time(scenario())
 
 
 def test_worker_gets_its_response_only_once_its_result_is_on_the_disk() -> None:
-    """A worker reports the result of a job, and the dispatcher dies while it writes it.
+    """Guard against a lost result, when the dispatcher is killed while it writes the result.
 
-    A worker drops a result once its callback has a response. Had it got one before the sync, the result
-    would be lost with the dispatcher. The same holds for the report when it is sent again meanwhile; a
-    report without a lease must neither count nor wait.
+    A worker drops a result once its callback has a response. The callback and its repetition must therefore
+    get a response only after the sync. A report without a lease must neither count nor wait.
     """
 
     async def scenario() -> None:
-        platter = VirtualDisk(1, SYNC_TIME)
-        parts = JobParts(open_log(platter))
+        disk = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(disk))
         assert parts.acceptance.submit(job_request()) is not None
         await asyncio.sleep(2 * SYNC_TIME)
         parts.leases.grant("a", "w0", parts.dispatcher.now())
@@ -156,31 +153,32 @@
         assert not any(wait.done() for wait in waiting)
         await asyncio.gather(*waiting)
         assert parts.dispatcher.callbacks == [done] and not job.late_reports
-        platter.crash()
-        finished = open_log(platter).table.jobs["a"].finished
+        disk.crash()
+        finished = open_log(disk).table.jobs["a"].finished
         assert finished is not None and finished.body == b"collected"
 
     run_in_virtual_time(scenario())
 
 
 def test_final_response_that_can_never_be_written_is_tried_once_and_its_worker_keeps_the_result() -> None:
-    """A sync failed, so that this process writes nothing any more, and a worker reports a result.
+    """Guard against endless retries of a write after a failed sync, which ends all writing.
 
-    The write was tried again every half second until the process was restarted, its log line each time, and
-    the client waited for its whole timeout. It must be tried once. The client must hear at once that the job
-    goes on, and the worker get no response, so that it reports its result to the next process.
+    The write was retried every half second until the restart, with a log line each time, and the client
+    waited for its whole timeout. The write must be tried once. The client must be notified at once that the
+    job is not done yet, and the worker must get no response, so that it reports its result to the next
+    process.
     """
 
     async def scenario() -> None:
-        platter = VirtualDisk(1, SYNC_TIME)
-        parts = JobParts(open_log(platter))
+        disk = VirtualDisk(1, SYNC_TIME)
+        parts = JobParts(open_log(disk))
         lines: list[str] = []
         parts.completion.log.emit = lambda line, *_, **__: lines.append(line)  # type: ignore[method-assign]
         response = parts.acceptance.submit(job_request())
         assert response is not None
         await asyncio.sleep(2 * SYNC_TIME)
         parts.leases.grant("a", "w0", parts.dispatcher.now())
-        platter.fails_sync = True
+        disk.fails_sync = True
         done = Callback("a", "w0", "done", 0.0, AttemptOutcome.DONE, b"collected")
         reported = parts.lease_service.handle_callback(parts.state.table.jobs["a"], done)
         assert reported is not None
@@ -193,7 +191,7 @@
         assert again is not None
         with pytest.raises(ConnectionError):
             await again
-        platter.crash()
-        assert open_log(platter).table.jobs["a"].finished is None
+        disk.crash()
+        assert open_log(disk).table.jobs["a"].finished is None
 
     run_in_virtual_time(scenario())
--- a/tests/durable_helpers.py
+++ b/tests/durable_helpers.py
@@ -1,4 +1,4 @@
-"""Builders for tests of durable jobs."""
+"""Builders and stand-ins for the tests of durable jobs."""
 
 from __future__ import annotations
 
@@ -40,8 +40,10 @@
 ROOT = Path(__file__).resolve().parents[1]
 
 
-def accepted_job(job_id: str, at: int = 0, service_class: str = "record", key: str = "") -> JobAccepted:
-    """Return the record of a job that is accepted at some time and given up 100 seconds later."""
+def accepted_job(
+    job_id: str, accepted_at: int = 0, service_class: str = "record", key: str = ""
+) -> JobAccepted:
+    """Return the record of an accepted job whose deadline is 100 seconds later."""
     return JobAccepted(
         job_id=job_id,
         key=key,
@@ -51,45 +53,51 @@
         target=f"/{service_class}",
         forwarded_headers=[],
         body=b"body",
-        recorded_at=at,
-        deadline=at + 100 * SECOND,
+        recorded_at=accepted_at,
+        deadline=accepted_at + 100 * SECOND,
         width=1.0,
     )
 
 
 def granted_lease(
-    job_id: str, fence: int = 1, worker: str = "w0", at: int = 0, until: int = 20 * SECOND
+    job_id: str, fence: int = 1, worker: str = "w0", granted_at: int = 0, expires_at: int = 20 * SECOND
 ) -> LeaseGranted:
     """Return the record of a lease in zone 0."""
     return LeaseGranted(
-        job_id=job_id, fence=fence, worker=worker, zone="zone-0", cell=0, recorded_at=at, expires_at=until
+        job_id=job_id,
+        fence=fence,
+        worker=worker,
+        zone="zone-0",
+        cell=0,
+        recorded_at=granted_at,
+        expires_at=expires_at,
     )
 
 
-def run_in_virtual_time(work: Any) -> Any:
+def run_in_virtual_time(coroutine: Any) -> Any:
     """Run a coroutine in virtual time; return its result."""
     loop = VirtualLoop()  # type: ignore[abstract]
-    return loop.run_until_complete(work)
+    return loop.run_until_complete(coroutine)
 
 
 def open_log(
-    platter: VirtualDisk, segment_bytes: int = 1 << 30, group_commit: bool = True, skip_damaged: bool = False
+    disk: VirtualDisk, segment_bytes: int = 1 << 30, group_commit: bool = True, skip_damaged: bool = False
 ) -> WriteAheadLog:
     """Open a log on a simulated disk."""
-    log = WriteAheadLog(platter.mount(), segment_bytes, group_commit)
+    log = WriteAheadLog(disk.mount(), segment_bytes, group_commit)
     log.open(skip_damaged)
     return log
 
 
 class ServedInstallation:
-    """Dispatchers that `locktide serve` runs one after the other by one file."""
+    """Runs dispatchers with `locktide serve`, one after the other, from one installation file."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.processes: list[subprocess.Popen[str]] = []
 
     def start(self) -> subprocess.Popen[str]:
-        """Start a dispatcher, and return it once it serves."""
+        """Start a dispatcher and return its process once it serves requests."""
         process = subprocess.Popen(
             [sys.executable, "-m", "locktide.cli.main", "serve", str(self.path), "--log-format", "json"],
             cwd=ROOT,
@@ -104,7 +112,7 @@
         return process
 
     def stop(self) -> None:
-        """Kill what still runs."""
+        """Kill all processes that still run."""
         for process in self.processes:
             process.kill()
             process.wait()
@@ -113,11 +121,11 @@
 
 
 class RecordingDispatcher(JobDispatcher):
-    """Records the jobs that it gets and never finishes one; its clock is that of the event loop.
+    """Records the submitted jobs and never finishes one; its clock is that of the event loop.
 
     Attributes:
-        submitted: Timeout in microseconds of each job, by its id.
-        callbacks: The reports of workers that have counted.
+        submitted: Timeout of each job in microseconds, by job id.
+        callbacks: The reports of workers that were forwarded to the dispatcher.
     """
 
     def __init__(self) -> None:
@@ -129,7 +137,7 @@
         return round(asyncio.get_running_loop().time() * SECOND)
 
     def is_id_in_use(self, _request_id: str) -> bool:
-        """Return that no other request has the id."""
+        """Return False: no other request has the id."""
         return False
 
     def submit(
@@ -140,12 +148,12 @@
         return asyncio.get_running_loop().create_future()
 
     def handle_callback(self, callback: Callback) -> None:
-        """Record what a worker reports."""
+        """Record a worker's report."""
         self.callbacks.append(callback)
 
 
 class JobParts:
-    """The parts of a job service on a log, with a dispatcher that only records."""
+    """The parts of a job service with a given log and a `RecordingDispatcher`."""
 
     def __init__(self, log: WriteAheadLog) -> None:
         self.log = log
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,12 +1,12 @@
-"""Stored bytes of durable jobs, as an earlier program wrote them: no renaming may change how they are read.
+"""Stored bytes of durable jobs, written by an earlier version: no renaming may change how they are read.
 
-The segments under `tests/data/durable_journal/` were written once by the program of commit 53c25d5, before
-its classes were renamed, through `Journal.append` by four openings of one directory in turn, with a record
-`Began` each. The first accepted jobs 1 to 12. The second had a segment size of 16 bytes, so that it wrote a
-snapshot (segment 3), and an OSError was raised at its point "before old segments go", so that the older
-segments stayed. The third accepted jobs 13 to 24. Of what the fourth wrote the last nine bytes were cut
-off, within the final answer of job 20. The files are never written anew: a test that fails here has found a
-change of the format.
+The segments under `tests/data/durable_journal/` were written once by the version of commit 53c25d5, before
+its classes were renamed. Its `Journal.append` wrote them in four successive openings of one directory, each
+of which wrote a `Began` record. The first opening accepted jobs 1 to 12. The second had a segment size of 16
+bytes, so that it wrote a snapshot (segment 3); an OSError was raised at its crash point "before old segments
+go", so that the older segments were kept. The third accepted jobs 13 to 24. The last nine bytes that the
+fourth wrote were cut off, within the final response of job 20. The files are never written again: a test that
+fails here has found a change of the format.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from locktide.scheduler.types import PROVEN_NOT_RUN, AttemptOutcome
 
 STORED = Path(__file__).parent / "data" / "durable_journal"
-# Unix microseconds at which the first process began. Times in the tables below are relative to it.
+# Unix microseconds at which the first process started. Times in the tables below are relative to it.
 EPOCH = 1_700_000_000_000_000
 HEADERS = [(b"content-type", b"text/plain"), (b"x-bytes", b"\xff\x80")]
 LONG_BODY = b"x" * 300
@@ -43,9 +43,10 @@
     "0000000005.journal": 142,  # without its torn end
 }
 
-# Each job as: id, state, grade, key, digest, method, target, headers, body, accepted at, time limit at,
-# width, leases (fence, worker, zone, cell, at, until), ends of leases (key in the table, fence, outcome, at),
-# final answer (status, body, advice, at), late words (fence, worker, state, at).
+# The fields of each job: id, state, service class, idempotency key, digest, method, target, headers, body,
+# accepted at, deadline, width, leases (fence, worker, zone, cell, granted at, expires at), ended attempts
+# (key in the table, fence, outcome, ended at), final response (status, body, retry after, finished at) and
+# late reports (fence, worker, state, reported at).
 JOBS: list[tuple[Any, ...]] = [
     (
         "job-01",
@@ -481,7 +482,7 @@
     ),
 ]
 
-# What recovery makes of the open jobs, oldest first: id, time limit at, places of leases without an end.
+# The resumed jobs, oldest first: id, deadline, indexes of the pending attempts.
 RESUMED = [
     ("job-01", 62000000, []),
     ("job-02", 64000000, [0]),
@@ -500,6 +501,7 @@
     ("job-23", 106000000, [0]),
     ("job-24", 108000000, [0]),
 ]
+# The jobs past their deadline: id, status of the final response.
 ENDED = [("job-03", 502), ("job-13", 503)]
 
 EXPORTED = {
@@ -541,12 +543,12 @@
 
 @pytest.fixture
 def stored(tmp_path: Path) -> Path:
-    """A copy that may be written to."""
+    """A copy of the stored segments that a test may write to."""
     return Path(shutil.copytree(STORED, tmp_path / "journal"))
 
 
-def row(job: Job) -> tuple[Any, ...]:
-    accepted, final = job.accepted, job.finished
+def job_row(job: Job) -> tuple[Any, ...]:
+    accepted, finished = job.accepted, job.finished
     return (
         job.job_id,
         JOB_STATE_WORDS[job.state],
@@ -572,10 +574,12 @@
             for lease in job.leases
         ],
         [
-            (fence, end.fence, end.outcome, end.recorded_at - EPOCH)
-            for fence, end in job.ended_attempts.items()
+            (fence, ended.fence, ended.outcome, ended.recorded_at - EPOCH)
+            for fence, ended in job.ended_attempts.items()
         ],
-        (final.status, final.body, final.retry_after, final.recorded_at - EPOCH) if final else None,
+        (finished.status, finished.body, finished.retry_after, finished.recorded_at - EPOCH)
+        if finished
+        else None,
         [(late.fence, late.worker, late.state, late.recorded_at - EPOCH) for late in job.late_reports],
     )
 
@@ -588,7 +592,7 @@
     assert log.contents.torn == ["0000000005.journal: at byte 142: 42 bytes of a record of 51"]
     assert log.contents.damaged == []
     table = log.table
-    assert [row(job) for job in table.jobs.values()] == JOBS
+    assert [job_row(job) for job in table.jobs.values()] == JOBS
     assert [id for id, job in table.jobs.items() if not job.possibly_executed()] == [
         "job-01",
         "job-07",
@@ -598,10 +602,10 @@
     ]
     assert table.job_ids_by_key == {(job[2], job[3]): job[0] for job in JOBS if job[3]}
     assert (table.open_count, table.last_recorded_at - EPOCH) == (18, 25_000_002)
-    began = table.writer
-    assert began is not None
-    assert (began.recorded_at - EPOCH, began.boot_id, began.uptime) == (25_000_000, "boot-b", 8_000_000)
-    # The torn end is cut off, the rest stands as it was, and a segment of our own has begun.
+    writer = table.writer
+    assert writer is not None
+    assert (writer.recorded_at - EPOCH, writer.boot_id, writer.uptime) == (25_000_000, "boot-b", 8_000_000)
+    # The torn end is cut off, the other bytes are unchanged, and a new segment has been begun.
     assert {path.name: path.stat().st_size for path in stored.glob("*.journal")} == SEGMENTS | {
         "0000000006.journal": 16
     }
@@ -613,17 +617,17 @@
 def test_the_stored_open_jobs_are_ended_or_resumed_as_before(stored: Path) -> None:
     table = JobTable()
     read_log(DirectoryStorage(stored), table)
-    holders = LeaseTable(LeaseConfig(5_000_000, 2_000_000))
-    span = recovery.ElapsedBounds(1_000_000, 2_000_000)
-    steps = recovery.plan(table, holders, span, table.last_recorded_at + 1_000_000)
+    leases = LeaseTable(LeaseConfig(5_000_000, 2_000_000))
+    elapsed = recovery.ElapsedBounds(1_000_000, 2_000_000)
+    steps = recovery.plan(table, leases, elapsed, table.last_recorded_at + 1_000_000)
     resumed = [step for step in steps if isinstance(step, recovery.ResumeJob)]
     assert [(step.job.job_id, step.deadline - EPOCH, step.pending) for step in resumed] == RESUMED
     assert [(step.job.job_id, step.status) for step in steps if isinstance(step, recovery.FinishJob)] == ENDED
-    dispatches = next(step.attempts for step in resumed if step.job.job_id == "job-16")
-    assert [(one.worker, one.zone, one.cell, one.sent_at - EPOCH, one.outcome) for one in dispatches] == [
-        ("w3", "zone-1", 11, 15_000_116, "no connection"),
-        ("w4", "zone-2", 11, 23_000_012, None),
-    ]
+    attempts = next(step.attempts for step in resumed if step.job.job_id == "job-16")
+    assert [
+        (attempt.worker, attempt.zone, attempt.cell, attempt.sent_at - EPOCH, attempt.outcome)
+        for attempt in attempts
+    ] == [("w3", "zone-1", 11, 15_000_116, "no connection"), ("w4", "zone-2", 11, 23_000_012, None)]
 
 
 def test_every_stored_record_is_written_again_in_the_same_bytes() -> None:
@@ -634,9 +638,9 @@
             item.payload for item in framing.read_frames(data) if isinstance(item, framing.FramedPayload)
         ]
         tags |= {msgspec.msgpack.decode(payload)[0] for payload in payloads}
-        again = [framing.encode_frame(records.encode(records.decode(payload))) for payload in payloads]
+        reencoded = [framing.encode_frame(records.encode(records.decode(payload))) for payload in payloads]
         assert segment_name(number) == name
-        assert framing.encode_header(number) + b"".join(again) == data[:size]
+        assert framing.encode_header(number) + b"".join(reencoded) == data[:size]
     assert tags == {"Began", "Accepted", "Leased", "Ended", "Finished", "Late", "Kept", "Whole"}
 
 
