--- a/locktide/durable/log/write_ahead_log.py
+++ b/locktide/durable/log/write_ahead_log.py
@@ -144,7 +144,7 @@
         return done
 
     async def _write_pending(self) -> None:
-        """Write the pending records in batches; records that are appended meanwhile form the next batch."""
+        """Write the pending records, one batch per sync; records appended meanwhile form the next batch."""
         try:
             while self._pending:
                 await self._write_batch(self._next_batch())
@@ -223,6 +223,6 @@
 
 
 async def wait_ignoring_write_error(write: asyncio.Future[None]) -> None:
-    """Wait for a write and ignore its failure: without the record recovery assumes that more has run."""
+    """Wait for a write, ignore its failure: without the record recovery assumes more has run, never less."""
     with suppress(LogWriteError):
         await write
