--- a/locktide/dispatcher/endpoint_follower.py
+++ b/locktide/dispatcher/endpoint_follower.py
@@ -109,10 +109,10 @@
         await self.watch_requested.wait()
         await self.follow(self.cached_version)
 
-    async def retry_when_requested(self, timed_out: bool) -> None:
+    async def retry_when_requested(self, has_timed_out: bool) -> None:
         """Report a failed call to the scheduler, and wait until it requests the next call."""
         self.watch_requested.clear()
-        kind = ListUpdateKind.FETCH_TIMED_OUT if timed_out else ListUpdateKind.FETCH_FAILED
+        kind = ListUpdateKind.FETCH_TIMED_OUT if has_timed_out else ListUpdateKind.FETCH_FAILED
         self.bridge.enqueue_event(EndpointListUpdate(kind, []))
         await self.watch_requested.wait()
 
--- a/locktide/transport/client_connection.py
+++ b/locktide/transport/client_connection.py
@@ -188,7 +188,7 @@
         with suppress(OSError, RuntimeError):  # the peer has closed the connection
             self.writer.write_eof()
             self.writer.transport.resume_reading()  # type: ignore[attr-defined]
-        self.context.descriptors.mark_idle(self, self.writer.close, proven=False)
+        self.context.descriptors.mark_idle(self, self.writer.close, is_proven=False)
         self.linger_timer = asyncio.get_running_loop().call_later(seconds, self.writer.close)
 
     async def linger(self, seconds: float) -> None:
--- a/locktide/transport/descriptor_budget.py
+++ b/locktide/transport/descriptor_budget.py
@@ -118,19 +118,23 @@
                 return
 
     def mark_idle(
-        self, connection: Hashable, close: Callable[[], None], proven: bool = True, evictable_at: float = 0.0
+        self,
+        connection: Hashable,
+        close: Callable[[], None],
+        is_proven: bool = True,
+        evictable_at: float = 0.0,
     ) -> None:
         """Record that a connection may be closed to free its descriptor.
 
         Args:
             connection: The connection.
             close: Closes it.
-            proven: Whether its peer has shown that it is a client or a worker.
+            is_proven: Whether its peer has shown that it is a client or a worker.
             evictable_at: When it may be closed at the earliest, in seconds of the event loop; at once by
                 default.
         """
         self.idle_count += 1
-        idle = self.idle_proven if proven else self.idle_unproven
+        idle = self.idle_proven if is_proven else self.idle_unproven
         idle[connection] = EvictionCandidate(connection, close, evictable_at, self.idle_count)
         if self.waiting:
             self.schedule_eviction()
--- a/locktide/transport/endpoint_watch.py
+++ b/locktide/transport/endpoint_watch.py
@@ -31,14 +31,14 @@
 MILLISECONDS_PER_SECOND = 1000
 
 
-async def retry_soon(timed_out: bool) -> None:
+async def retry_soon(has_timed_out: bool) -> None:
     """Wait until the next call to an agent whose calls are cheap.
 
     Args:
-        timed_out: Whether the previous call timed out, after which no further wait is needed; otherwise it
-            failed at once.
+        has_timed_out: Whether the previous call timed out, after which no further wait is needed; otherwise
+            it failed at once.
     """
-    if not timed_out:
+    if not has_timed_out:
         await asyncio.sleep(RETRY_DELAY)
 
 
@@ -90,11 +90,11 @@
             try:
                 await self._follow()
             except Exception as error:  # protects the watch: the list must be followed after any error
-                timed_out = isinstance(error, TimeoutError)
+                has_timed_out = isinstance(error, TimeoutError)
                 if not self.is_failing:
-                    self._log_failure(error, timed_out)
+                    self._log_failure(error, has_timed_out)
                 self.is_failing = True
-                await self._wait_for_retry(timed_out)
+                await self._wait_for_retry(has_timed_out)
 
     async def _follow(self) -> None:
         """Make calls on one connection for as long as each gets a response.
@@ -171,8 +171,8 @@
         )
         return True
 
-    def _log_failure(self, error: Exception, timed_out: bool) -> None:
-        cause = "silent" if timed_out else f"{type(error).__name__}: {error}"
+    def _log_failure(self, error: Exception, has_timed_out: bool) -> None:
+        cause = "silent" if has_timed_out else f"{type(error).__name__}: {error}"
         self._log.emit(
             f"endpoint list: no response ({cause}), retrying", event="discovery_failed", error=cause
         )
--- a/locktide/transport/listener.py
+++ b/locktide/transport/listener.py
@@ -127,7 +127,7 @@
         return ClientConnection(self, protocol, writer)
 
     async def wind_down(self) -> None:
-        """End the idle connections of clients now, and all others with their next response.
+        """End the idle connections of clients now, and other connections with their next response.
 
         A connection that was just opened stays: its first message may be on its way, and a client resends a
         message only on a connection that was reused
--- a/locktide/transport/upstream_exchange.py
+++ b/locktide/transport/upstream_exchange.py
@@ -11,7 +11,7 @@
 from locktide.transport.upstream_connection import UpstreamConnection
 
 
-class CallOnce:
+class OneTimeCallback:
     """Calls a callback at most once.
 
     While one request is written, the write buffer of a connection may become empty several times.
@@ -40,7 +40,7 @@
 
     `build` and `sent` are those of `RequestSender.send`.
     """
-    on_written = CallOnce(sent)
+    on_written = OneTimeCallback(sent)
     try:
         request = build()
         if request is None:
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -247,12 +247,12 @@
         descriptors, closed = DescriptorBudget(2), []
         for name in ("old", "newer"):
             await descriptors.acquire()
-            descriptors.mark_idle(name, lambda name=name: closed.append(name), proven=False)  # type: ignore[misc]
+            descriptors.mark_idle(name, lambda name=name: closed.append(name), is_proven=False)  # type: ignore[misc]
         waiting = asyncio.create_task(descriptors.acquire())
         await until(lambda: closed)
         descriptors.mark_busy("newer")
         # Like each new connection:
-        descriptors.mark_idle("newer", lambda: closed.append("newer"), proven=False)
+        descriptors.mark_idle("newer", lambda: closed.append("newer"), is_proven=False)
         for _ in range(20):
             await asyncio.sleep(0)
         assert closed == ["old"]
--- a/tests/dispatcher/test_list_notifications.py
+++ b/tests/dispatcher/test_list_notifications.py
@@ -90,7 +90,7 @@
         agent, failed = Agent(), asyncio.Event()
         listening = await asyncio.start_server(agent.serve, "127.0.0.1", 0)
 
-        async def wait_for_retry(timed_out: bool) -> None:
+        async def wait_for_retry(has_timed_out: bool) -> None:
             failed.set()
             await asyncio.sleep(9)
 
