--- a/tests/cluster/test_borrowing.py
+++ b/tests/cluster/test_borrowing.py
@@ -1,4 +1,4 @@
-"""Borrowing: within the lender's whole, never passed on, and reclaimed within a second of its return."""
+"""Borrowing: loans stay within the lender's whole, are not lent on, and end soon once it has demand again."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 @given(AMOUNTS, AMOUNTS, PAIRS)
 def test_matched_loans_stay_within_what_is_free_and_leave_no_shortfall_that_could_be_met(
-    shortfalls: dict[int, int], free: dict[int, int], previous: dict[Any, int]
+    shortfalls: dict[int, int], lendable: dict[int, int], previous: dict[Any, int]
 ) -> None:
-    filled = fill_evenly(shortfalls, sum(free.values()))
-    assert sum(filled.values()) == min(sum(shortfalls.values()), sum(free.values()))
+    filled = fill_evenly(shortfalls, sum(lendable.values()))
+    assert sum(filled.values()) == min(sum(shortfalls.values()), sum(lendable.values()))
     assert all(filled[borrower] <= shortfalls[borrower] for borrower in shortfalls)
-    loans = match_loans(filled, free, previous)
-    for lender, amount in free.items():
+    loans = match_loans(filled, lendable, previous)
+    for lender, amount in lendable.items():
         assert sum(lent for key, lent in loans.items() if key[0] == lender) <= amount
     for borrower, amount in filled.items():
         assert sum(lent for key, lent in loans.items() if key[1] == borrower) == amount
@@ -49,12 +49,12 @@
 
 
 def demand_of(rate: float) -> int:
-    """The demand that a steady rate is reported as."""
+    """Return the demand that a member reports for a steady rate."""
     return int(rate * 0.6)
 
 
 def settled_allocator() -> LoanAllocator:
-    """Quota 0 has been short for thirty seconds, 1 and 2 have been idle."""
+    """Return an allocator for which quota 0 was short for thirty seconds, and quotas 1 and 2 were idle."""
     rates = {0: 100 * 10**6, 1: 100 * 10**6, 2: 50 * 10**6}
     allocator = LoanAllocator(rates, dict.fromkeys(range(3), 900_000), 800_000, 0)
     for step in range(120):
@@ -70,7 +70,7 @@
     assert (1, 0) not in allocator.planned_loans
     for step in range(1, 12):
         allocator.replan({0: demand_of(250)}, [], {}, now + step * IDLE_AFTER // 12)
-        assert (1, 0) not in allocator.planned_loans, "it flaps at its own cost, not at others'"
+        assert (1, 0) not in allocator.planned_loans, "intermittent demand costs only the lender itself"
     for step in range(12, 30):
         allocator.replan({0: demand_of(250)}, [], {}, now + step * IDLE_AFTER // 12)
     assert (1, 0) in allocator.planned_loans
@@ -92,11 +92,11 @@
     allocator, now = settled_allocator(), 30 * SECOND
     outstanding = dict(allocator.planned_loans)
     assert outstanding
-    # The lender is short itself now; all that it lent is still out, by the accounts.
+    # The lender is short itself now; by the accounts all of its loans may still be in force.
     allocator.replan({0: demand_of(250), 1: demand_of(300)}, [], outstanding, now)
     assert not any(1 in key for key in allocator.planned_loans)
     allocator.replan({2: demand_of(300)}, [], {LoanKey(1, 0): 700_000}, now + 1)
-    assert not any(key[0] == 0 for key in allocator.planned_loans), "what it borrowed may still be spent"
+    assert not any(key[0] == 0 for key in allocator.planned_loans), "quota 0 may still spend its loans"
 
 
 # --- many members
@@ -139,7 +139,7 @@
 
 
 def test_quota_that_is_not_lendable_is_never_lent() -> None:
-    """The capacity of workers that are warming up, in particular."""
+    """In particular, the capacity of workers that are warming up must not be lent."""
     cluster = cluster_with(
         (
             QuotaSpec("busy", 20.0, 20.0, True),
@@ -161,11 +161,11 @@
 def test_quota_spends_nothing_of_a_loan_once_the_loan_or_its_lease_has_expired(
     loans_until: int, shares_until: int, late: int
 ) -> None:
-    """A dispatcher was stopped while it held a loan, and the loan expired meanwhile.
+    """A dispatcher was stopped while it held a loan, and when it resumed, a request arrived before its timer.
 
-    When it went on, a request was the first thing to reach it, before its timer. With a loan that ends at the
-    next update only, it would spend what its lender has back by then, and both together would spend more than
-    the lender's whole. A loan must end by the clock alone, at its own expiry or at that of the lease.
+    If a loan ended only at the next update, the dispatcher would spend an expired loan that its lender spends
+    as well, and both together would exceed the lender's whole. A loan must end by the clock alone, at its own
+    expiry or at that of the lease.
     """
     expiry = min(loans_until, shares_until)
 
@@ -182,8 +182,8 @@
 def test_borrower_stopped_past_its_loan_spends_none_of_it_before_its_next_tick() -> None:
     """The same in a running cluster: a borrower is stopped until its loan has expired, then gets requests.
 
-    Nothing else reaches it before them, neither a message nor its timer. Its lender has counted the loan as
-    returned by then. Each request must count against the borrower's own quota or get no token.
+    Neither a message nor its timer reaches the borrower before the requests. Its lender counts the loan as
+    returned by then, so each request must take a token of the borrower's own quota or get none.
     """
     cluster = cluster_with((QuotaSpec("busy", 20.0, 20.0, True), QuotaSpec("idle", 50.0, 50.0, True)))
     run_with_busy_demand(cluster, 14 * SECOND)
@@ -201,40 +201,42 @@
     }, "the loan is in force"
     while borrower.clock() < quota.loans_until:
         cluster.run(cluster.now + 10_000)
-    assert quota.loans, "nothing has reached it that could have ended the loan"
+    assert quota.loans, "neither a message nor the timer has ended the loan"
     sources = {borrower.agent.spend("busy", borrower.clock()) for _ in range(50)}
     assert sources <= {"busy", None}
     assert not quota.loans
 
 
-# --- faults that the checker must find
+# --- injected faults that the checker must find
 
 
-def loans_passed_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A member that was lent something lends it to another."""
-    update = LocalQuota.update
+def pass_loans_on(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let a member lend half of what it borrows to another quota."""
+    original_update = LocalQuota.update
 
     def lend_on(self: Any, held: Any, shares_until: int, loans: Any, loans_until: int, now: int) -> bool:
-        more = {(borrower, "other"): share // 2 for (_, borrower), share in loans.items()}
-        return update(self, held, shares_until, loans | more, loans_until, now)
+        passed_on = {(borrower, "other"): share // 2 for (_, borrower), share in loans.items()}
+        return original_update(self, held, shares_until, loans | passed_on, loans_until, now)
 
     monkeypatch.setattr(LocalQuota, "update", lend_on)
 
 
-def loans_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A loan's end is ignored, and so is its revocation."""
-    update = LocalQuota.update
+def keep_expired_loans(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let a member ignore the expiry and the revocation of its loans."""
+    original_update = LocalQuota.update
 
-    def keep(self: Any, held: Any, shares_until: int, loans: Any, loans_until: int, now: int) -> bool:
-        return update(self, held, shares_until, loans, 1 << 60 if loans else 0, now)
+    def update_without_expiry(
+        self: Any, held: Any, shares_until: int, loans: Any, loans_until: int, now: int
+    ) -> bool:
+        return original_update(self, held, shares_until, loans, 1 << 60 if loans else 0, now)
 
     monkeypatch.setattr(LeaseHolder, "current_loans", lambda self, now: self.loans)
     monkeypatch.setattr(LeaseHolder, "accept_revocation", lambda self, revocation, now: None)
-    monkeypatch.setattr(LocalQuota, "update", keep)
+    monkeypatch.setattr(LocalQuota, "update", update_without_expiry)
     monkeypatch.setattr(LocalQuota, "expire", lambda self, now: False)
 
 
-@pytest.mark.parametrize("fault", [None, loans_passed_on, loans_kept])
+@pytest.mark.parametrize("fault", [None, pass_loans_on, keep_expired_loans])
 def test_checker_finds_a_loan_that_is_passed_on_or_kept(fault: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     if fault:
         fault(monkeypatch)
--- a/tests/cluster/test_dispatcher_link.py
+++ b/tests/cluster/test_dispatcher_link.py
@@ -1,4 +1,4 @@
-"""The link between a cluster member and its scheduler: which shares the scheduler takes to be in force."""
+"""The link between a cluster member and its scheduler: the scheduler uses the shares that are in force."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from locktide.transport.log import Log
 
 ADDRESS = ("127.0.0.1", 7000)
-LATENCY = 1_000  # microseconds of a datagram
+LATENCY = 1_000  # of a datagram, in microseconds
 REQUEST_INTERVAL = 0.02  # seconds between two requests of the tenant
 
 
@@ -32,7 +32,7 @@
 
 @dataclass
 class RecordingDispatcher:
-    """Takes the place of a dispatcher: it keeps the last update of quota shares."""
+    """Stands in for a dispatcher, and keeps the last update of quota shares."""
 
     loop: asyncio.AbstractEventLoop
     observers: list[Callable[[object], None]] = field(default_factory=list)
@@ -53,8 +53,8 @@
 
 
 @dataclass(frozen=True)
-class Observed:
-    """What the scheduler of a member goes by at the end of a run."""
+class SchedulerView:
+    """The shares and loans that the scheduler of a member uses at the end of a run."""
 
     stage: QuotaStage
     update: QuotaSharesUpdated
@@ -63,11 +63,11 @@
 
 
 def test_scheduler_admits_by_the_leased_share_for_as_long_as_the_lease_is_renewed() -> None:
-    """All demand of a tenant came through one dispatcher, which held nearly the whole of its quota.
+    """The scheduler was notified of a share and its expiry, but not of renewals, as the share did not change.
 
-    The scheduler was notified of the share and of the moment at which its lease expired by then, but not of
-    the renewals, as the share stayed the same. From that moment on it admitted by the guaranteed minimum,
-    though the lease went on. What is in force at the member must be in force at its scheduler.
+    From the first expiry on it admitted requests by the guaranteed minimum, although the lease was renewed.
+    This happens if all demand of a tenant arrives at one dispatcher, which holds nearly the whole quota. The
+    share in force at the member must be in force at its scheduler.
     """
 
     async def run() -> None:
@@ -83,7 +83,7 @@
             await asyncio.sleep(REQUEST_INTERVAL)
         quota = transport.member.local_quota
         share = quota.shares["dairy"]
-        assert share > 2 * quota.guaranteed_minimum, "the demand has brought more than the minimum"
+        assert share > 2 * quota.guaranteed_minimum, "the demand has raised the share above the minimum"
         assert transport.now() < quota.shares_until, "the lease is in force"
         stage = dispatcher.stage_in_force()
         await transport.close()
@@ -92,10 +92,10 @@
     VirtualLoop().run_until_complete(run())  # type: ignore[abstract]
 
 
-def run_one_member(config: ClusterConfig, seconds: float, demanded: str) -> Observed:
-    """Run one member whose dispatcher has demand of one tenant; return what its scheduler goes by."""
+def run_one_member(config: ClusterConfig, seconds: float, demanded: str) -> SchedulerView:
+    """Run one member whose dispatcher has demand of one tenant; return the view of its scheduler."""
 
-    async def run() -> Observed:
+    async def run() -> SchedulerView:
         loop = asyncio.get_running_loop()
         dispatcher = RecordingDispatcher(loop)
         network = VirtualDatagramNetwork(loop, ReliableNetwork())
@@ -107,7 +107,7 @@
                 transport.member.ledger.next_recompute_at = FOREVER
             transport.member.spend(demanded, transport.now())
             await asyncio.sleep(REQUEST_INTERVAL)
-        observed = Observed(
+        observed = SchedulerView(
             stage=dispatcher.stage_in_force(),
             update=dispatcher.last_update,
             now=dispatcher.now(),
@@ -116,15 +116,15 @@
         await transport.close()
         return observed
 
-    observed: Observed = VirtualLoop().run_until_complete(run())  # type: ignore[abstract]
+    observed: SchedulerView = VirtualLoop().run_until_complete(run())  # type: ignore[abstract]
     return observed
 
 
 def test_scheduler_admits_by_a_loan_for_as_long_as_the_loan_is_renewed() -> None:
-    """One tenant left its quota idle, and another one borrowed it.
+    """The scheduler was notified of the first expiry of a loan, but not of its renewals.
 
-    A loan is renewed every 0.3 s and lasts for 0.5 s. The scheduler was notified of its first end only, so
-    that it ended half a second after each change, though the loan went on.
+    A loan lasts for 0.5 s and is renewed every 0.3 s. For the scheduler it ended half a second after each
+    change of its amount, although it was renewed.
     """
     quotas = [QuotaSpec("dairy", 10.0, 50.0, lendable=True), QuotaSpec("goats", 50.0, 250.0, lendable=True)]
     config = ClusterConfig(("d0", 1), ADDRESS, {"d0": ADDRESS}, [], quotas, 0.2, 2, lendable_fraction=0.5)
@@ -134,11 +134,11 @@
 
 
 def test_scheduler_holds_a_tenant_over_its_fair_share_for_as_long_as_the_ledger_does() -> None:
-    """A tenant held more than its fair share of a contended fleet for a minute, and nobody else changed.
+    """The scheduler was notified of the tenants over their fair shares only when their set changed.
 
-    The scheduler was notified when the set of such tenants changed, and forgot it after 5 s: the tenant was
-    served beyond its share again, though the ledger still named it. Nobody leads here, so that no lease is
-    renewed either.
+    It drops the set after 5 s, so a tenant that stayed over its share for a minute was served beyond it
+    again, although the ledger still named it. There is no leader here, so no lease renewal notifies the
+    scheduler either.
     """
     fairness = FairnessConfig(["slots"], {"dairy": 1000, "goats": 1000}, {"view": [1000]}, [1000], 1_000_000)
     quotas = [QuotaSpec("dairy", 50.0, 250.0), QuotaSpec("goats", 50.0, 250.0)]
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -1,4 +1,4 @@
-"""Election of the leader: at most one member at a time."""
+"""Election of the leader: at most one member leads at a time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from locktide.simulation.cluster.virtual_cluster import VirtualCluster
 
 
-def leaders(cluster: VirtualCluster) -> int:
+def leader_count(cluster: VirtualCluster) -> int:
     return sum(
         process.agent.election is not None and process.agent.election.proposer.is_leader(process.clock())
         for process in cluster.all
@@ -19,32 +19,35 @@
     )
 
 
-@pytest.mark.parametrize("eager", [False, True])
+@pytest.mark.parametrize("skips_silence", [False, True])
 def test_two_members_lead_at_once_only_if_a_restarted_acceptor_is_not_silent(
-    eager: bool, monkeypatch: pytest.MonkeyPatch
+    skips_silence: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Of three acceptors one leads by the vote of another, which restarts and votes for the third."""
-    original = Acceptor.__init__
+    """One of three acceptors leads with the vote of another, which restarts and votes for the third.
 
-    def without_silence(self: Any, now: int, *lease: int) -> None:
-        original(self, now, *lease)
+    A restarted acceptor has lost its promises: without its silence both would hold the leader lease.
+    """
+    original_init = Acceptor.__init__
+
+    def init_without_silence(self: Any, now: int, *lease: int) -> None:
+        original_init(self, now, *lease)
         self.silent_until = 0
 
-    if eager:
-        monkeypatch.setattr(Acceptor, "__init__", without_silence)
+    if skips_silence:
+        monkeypatch.setattr(Acceptor, "__init__", init_without_silence)
     moments_with_two_leaders = 0
     for seed in range(6):
         cluster = settled_cluster(seed, 3)
         leader = next(process for process in cluster.all if process.agent.allocator is not None)
         first, second = (process for process in cluster.all if process is not leader)
-        pair = {(leader.name, second.name), (second.name, leader.name)}
-        cluster.net.cut = set(pair)
+        leader_links = {(leader.name, second.name), (second.name, leader.name)}
+        cluster.net.cut = set(leader_links)
         cluster.run(cluster.now + SECOND)
         first.kill()
         cluster.begin(first.name)
-        cluster.net.cut = pair | {(leader.name, first.name), (first.name, leader.name)}
+        cluster.net.cut = leader_links | {(leader.name, first.name), (first.name, leader.name)}
         for _ in range(300):
             cluster.run(cluster.now + 10_000)
-            moments_with_two_leaders += leaders(cluster) > 1
-        assert not cluster.meter.overruns(), "a new leader waits out what the other one granted, besides"
-    assert bool(moments_with_two_leaders) == eager
+            moments_with_two_leaders += leader_count(cluster) > 1
+        assert not cluster.meter.overruns(), "a new leader also waits until all earlier grants have expired"
+    assert bool(moments_with_two_leaders) == skips_silence
--- a/tests/cluster/test_failure_detection.py
+++ b/tests/cluster/test_failure_detection.py
@@ -31,8 +31,9 @@
 def test_a_death_and_a_clean_leave_become_known_to_all_and_a_restarted_member_is_alive_again() -> None:
     """One member is killed, another leaves, and later the killed one is started again under its name.
 
-    Members that were not notified of the leave would still send it leases. The record of the killed process
-    must not outlive it: the later process has another generation and has to be alive for everybody.
+    Members that were not notified of the leave would still grant leases to the member that left. The record
+    of the killed process must not apply to the later one, which has another generation and must be alive for
+    all.
     """
     cluster = settled_cluster()
     killed, leaving = cluster.all[1], cluster.all[2]
@@ -71,11 +72,10 @@
 
 
 def test_a_member_that_has_stepped_down_is_not_woken_for_what_it_no_longer_does() -> None:
-    """A second process of a name was started, and the first one stepped down.
+    """A second process of a name was started, and the first one stepped down but used a whole core.
 
-    Its next wakeup was still that of a lease request and of its ledger, which it did not make any more. So
-    the time was always past, and the process took a whole core. What a member that has stepped down no longer
-    does must not wake it.
+    Its next wakeup still included those of lease requests and of its ledger, which it no longer served. So
+    the wakeup was always in the past, and the timer fired without end.
     """
     cluster = VirtualCluster(3, ["d0", "d1", "d2"], ledger=random_runs.LEDGER, lend=0.5)
     for name in cluster.names:
@@ -89,8 +89,8 @@
 
 def test_a_member_that_knows_nobody_contacts_its_seeds_again_and_again() -> None:
     seeds = [("127.0.0.1", 9001)]
-    alone = Swim(("d0", 5), ("127.0.0.1", 9000), seeds, LinearCongruentialGenerator(1), 0)
+    member = Swim(("d0", 5), ("127.0.0.1", 9000), seeds, LinearCongruentialGenerator(1), 0)
     contacts = 0
     for _ in range(60):
-        contacts += sum(type(message) is FullSync for _, message in alone.tick(alone.next_wakeup))
-    assert contacts > 20 and alone.alive() == ["d0"]
+        contacts += sum(type(message) is FullSync for _, message in member.tick(member.next_wakeup))
+    assert contacts > 20 and member.alive() == ["d0"]
--- a/tests/cluster/test_fairness.py
+++ b/tests/cluster/test_fairness.py
@@ -1,4 +1,4 @@
-"""Fairness: replicas merge alike in any order and are soon equal, and shares are fair as published."""
+"""Fairness: replicas become equal whatever the order of merging, and fair shares are those of the paper."""
 
 from __future__ import annotations
 
@@ -49,17 +49,17 @@
 
 
 def row_of_version(row: LedgerRow) -> LedgerRow:
-    """A version of a row has the same amounts wherever it is read."""
+    """Return a row whose amounts depend only on its index and version, as every reader gets the same ones."""
     return LedgerRow(row.index, row.version, [row.version, row.index], [0, row.version])
 
 
 def replica_after(operations: list[Any]) -> ReplicatedLedger:
     replica = ReplicatedLedger()
-    for operation, name, start, value in operations:
+    for operation, name, generation, value in operations:
         if operation == "put":
-            replica.put((name, start), row_of_version(value))
+            replica.put((name, generation), row_of_version(value))
         else:
-            replica.close(name, (start, value))
+            replica.close(name, (generation, value))
     return replica
 
 
@@ -70,15 +70,15 @@
 
 @given(OPERATIONS, st.randoms())
 def test_merging_gives_the_same_replica_in_any_order_and_when_repeated(
-    operations: list[Any], drawn: random.Random
+    operations: list[Any], generator: random.Random
 ) -> None:
     shuffled = operations * 2
-    drawn.shuffle(shuffled)
+    generator.shuffle(shuffled)
     first, second = replica_after(operations), replica_after(shuffled)
     assert contents(first) == contents(second) and first.digest == second.digest
 
 
-def test_delta_that_would_leave_a_hole_is_not_merged() -> None:
+def test_delta_that_would_leave_a_gap_is_not_merged() -> None:
     replica = ReplicatedLedger()
     row = LedgerRow(0, 5, [1], [0])
     assert not replica.merge(WriterDelta("a", 1, 3, [row])) and replica.read_version(("a", 1)) == 0
@@ -95,7 +95,9 @@
     assert agreed_capacity(replica, 1) == [8]
 
 
-def test_peer_that_names_writers_without_end_fills_no_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_peer_that_names_writers_without_end_does_not_fill_the_memory(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(replicated_ledger_module, "MAX_WRITERS", 5)
     replica = ReplicatedLedger()
     for number in range(50):
@@ -110,7 +112,10 @@
 
 
 def test_published_example_gives_each_two_thirds_of_its_dominant_resource() -> None:
-    """Nine processors, eighteen of memory; tasks of (1, 4) and (3, 1): three of one and two of the other."""
+    """The fleet has 9 processors and 18 units of memory; one tenant's tasks need (1, 4), the other's (3, 1).
+
+    The paper's result is three tasks of the first tenant and two of the second.
+    """
     demands = {0: [100_000, 400_000], 1: [300_000, 100_000]}
     shares = progressive_filling([9_000, 18_000], demands, {0: 1, 1: 1})
     assert all(
@@ -125,10 +130,12 @@
 
 
 def served_fraction(share: int, demand: list[int], capacity: list[int], needed: list[int]) -> float:
-    """How much of `needed` one could do with what a dominant share of `demand` gives."""
-    whole = dominant_share(demand, capacity)
-    fraction = share / whole if whole else 0.0
-    return min([1.0, *[fraction * demand[place] / need for place, need in enumerate(needed) if need]])
+    """Return the fraction of `needed` that the dominant share `share` of a tenant with `demand` covers."""
+    demanded_share = dominant_share(demand, capacity)
+    fraction = share / demanded_share if demanded_share else 0.0
+    return min(
+        [1.0, *[fraction * demand[resource] / amount for resource, amount in enumerate(needed) if amount]]
+    )
 
 
 @settings(max_examples=300)
@@ -140,12 +147,12 @@
     fair = progressive_filling(capacity, demands, weights)
     for tenant, share in solved(capacity, demands, weights).items():
         assert abs(fair[tenant] / FULL_SHARE - share) < TOLERANCE
-    for place, whole in enumerate(capacity):
+    for resource, total in enumerate(capacity):
         used = sum(
-            fair[tenant] / max(1, dominant_share(demand, capacity)) * demand[place]
+            fair[tenant] / max(1, dominant_share(demand, capacity)) * demand[resource]
             for tenant, demand in demands.items()
         )
-        assert used <= whole * (1 + TOLERANCE)
+        assert used <= total * (1 + TOLERANCE)
 
 
 @given(CAPACITIES, DEMANDS)
@@ -201,7 +208,7 @@
     assert tracker.in_use == {0: [0, 0]} and tracker.waiting == {0: [2000, 100]}
     tracker.observe(StartAttempt("a", "w"))
     tracker.observe(FailRequest("a"))
-    assert tracker.in_use == {0: [2000, 100]} and tracker.open_requests, "it runs on"
+    assert tracker.in_use == {0: [2000, 100]} and tracker.open_requests, "the attempt still runs"
     tracker.observe(AttemptEnded("a", 2, AttemptOutcome.CANCELLED, False))
     assert not tracker.open_requests and tracker.in_use == tracker.waiting == {0: [0, 0]}
 
@@ -216,10 +223,10 @@
     assert tracker.capacity() == [0, 0]
 
 
-def test_request_whose_client_has_left_waits_no_more() -> None:
+def test_request_whose_client_has_left_no_longer_counts_as_waiting() -> None:
     tracker = UsageTracker({"dairy": 0}, {"view": [1000]}, [4000])
-    for job in ("a", "b"):
-        tracker.observe(RequestArrived(job, "view", 9, tenant="dairy"))
+    for request_id in ("a", "b"):
+        tracker.observe(RequestArrived(request_id, "view", 9, tenant="dairy"))
     tracker.observe(StartAttempt("b", "w"))
     tracker.observe(ClientDisconnected("a"))
     tracker.observe(ClientDisconnected("b"))
@@ -249,10 +256,11 @@
 
 
 def test_rows_of_a_dead_writer_count_until_its_jobs_have_ended_and_are_closed_for_all() -> None:
-    """A dispatcher is killed while its jobs run on workers, where they go on to their deadlines.
+    """A dispatcher is killed while its jobs run on workers, where they may run until their deadlines.
 
-    Rows dropped at once would show free capacity that is in use, and rows kept for good would count a tenant
-    as busy for ever. They must count until the last job must have ended, and then for no member any more.
+    If its rows were dropped at once, capacity in use would count as free; if they were kept for good, their
+    tenants would count as busy forever. They must count until the last job must have ended, and be closed for
+    all members then.
     """
     run = FairnessRun(4, 5)
     run.run(4.0)
@@ -261,18 +269,18 @@
     dead.kill()
     run.world.run(run.world.now + 4 * SECOND)
     rest = run.world.all[1:]
-    assert all(writer in ledger_of(process).replica.writers for process in rest), "its jobs may run"
+    assert all(writer in ledger_of(process).replica.writers for process in rest), "its jobs may still run"
     run.world.run(run.world.now + 25 * SECOND)
     assert not any(writer in ledger_of(process).replica.writers for process in rest)
     run.quiet()
     assert run.until_equal() <= 2.0
 
 
-def test_writer_that_was_declared_dead_writes_its_rows_anew() -> None:
-    """A dispatcher was cut off for so long that the others closed its rows, and then came back.
+def test_writer_that_was_declared_dead_writes_its_rows_again() -> None:
+    """A dispatcher was cut off for so long that the others closed its rows, and then it was reachable again.
 
-    Its rows had not changed meanwhile, so it had nothing to write, and the others ignored its former
-    versions: its tenants would have counted as idle. It has to write all of its rows under new versions.
+    Its rows had not changed meanwhile, so it wrote none, and the others ignored its earlier versions: its
+    tenants counted as idle. It must write all of its rows again, with new versions.
     """
     run = FairnessRun(4, 5)
     run.run(4.0)
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -1,4 +1,4 @@
-"""Lease holder and allocator by single messages: what a grant, a late one and a report of less do."""
+"""Lease holder and allocator, tested with single messages: requests, grants and late grants."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def requesting_holder(now: int) -> LeaseHolder:
-    """A holder that has sent its first request."""
+    """Return a holder that has sent its first request."""
     holder = LeaseHolder(MEMBER, now)
     holder.observe_leader(TERM, now)
     assert holder.next_request({0: 5}, now) is not None
@@ -55,19 +55,20 @@
 
 
 def test_grant_that_arrives_after_its_lease_has_expired_is_not_accepted() -> None:
-    """A grant was delayed in the network for as long as its lease lasts, which counts from the request.
+    """A grant is delayed in the network until its lease, which counts from the request, has expired.
 
-    The leader counts it as expired soon after. Accepted, it would show a share in force that others have.
+    The leader counts the lease as expired soon after. If the holder accepted the grant, its share would be in
+    force while others hold it.
     """
     assert requesting_holder(0).accept_grant(grant_of(500_000), SHARE_LEASE - 1)
     assert not requesting_holder(0).accept_grant(grant_of(500_000), SHARE_LEASE)
 
 
 def test_holder_that_was_granted_less_reports_that_soon() -> None:
-    """A member got a smaller share, and the rest was for another member, whose demand had begun.
+    """A member is granted a smaller share, as the rest is meant for another member whose demand has begun.
 
-    The leader may grant the rest only once it has a report of the smaller share. With the regular interval to
-    the next request the other member would wait for it that much longer.
+    The leader may grant the rest only after the member has reported its smaller share. If the report waited
+    for the regular request, the other member would wait a whole interval longer.
     """
     holder = requesting_holder(0)
     holder.accept_grant(grant_of(500_000), 1_000)
@@ -79,10 +80,10 @@
 
 
 def test_requests_in_quick_succession_make_one_damped_step() -> None:
-    """Members request at once after they have given something back, so several requests come within moments.
+    """Members send a request soon after they give back a part, so requests may follow in quick succession.
 
-    With a step for each the share would be at its target at once, and a short burst of demand at one member
-    would take everything from the others.
+    If each of them made a damped step, the share would reach its target at once, and a short burst of demand
+    at one member would take everything from the others.
     """
     allocator = Allocator(TERM, AllocatorConfig({0: 1_000_000}), now=0)
     now = 3 * SECOND
@@ -97,10 +98,10 @@
 
 
 def test_request_of_a_member_with_other_quotas_is_not_answered() -> None:
-    """Two dispatchers ran with different lists of tenants, while a new file was rolled out.
+    """Two dispatchers have different lists of tenants while a new installation file is rolled out.
 
-    Quotas are numbered by their sorted names, so the same number meant different tenants to them, and a grant
-    would have been of another tenant's quota. The leader must not answer a member whose names differ.
+    The index of a quota is its position among the sorted names, so one index means different tenants to them,
+    and a grant would apply to another tenant's quota. The leader must not answer a member whose names differ.
     """
     specs = [QuotaSpec("dairy", rate=10.0, burst=10.0)]
     names = QuotaNames(["dairy"])
@@ -120,13 +121,15 @@
 
 
 def test_heartbeats_that_fall_due_with_a_lease_request_are_sent() -> None:
-    """A lease request came at the very moment at which the leader's heartbeats fell due.
+    """A lease request arrived at the very moment at which the leader's heartbeats were due.
 
-    They counted as sent and were dropped, so that the members heard of their leader a whole interval later;
-    with requests at the pace of heartbeats that could go on until their leases ended.
+    The heartbeats counted as sent but were dropped, so the members received the next ones a whole interval
+    later. With requests at the pace of the heartbeats this could repeat until the members' leases expired.
     """
     cluster = settled_cluster()
-    leader = next(live for name in cluster.names if (live := live_member(cluster, name)).agent.allocator)
+    leader = next(
+        process for name in cluster.names if (process := live_member(cluster, name)).agent.allocator
+    )
     member = leader.agent
     requester = next(name for name in cluster.names if name != leader.name)
     assert member.allocator is not None
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -1,4 +1,4 @@
-"""Members that are considered dead, or superseded by a later process of their name, while they are alive."""
+"""Members that are considered dead, or are superseded by a later process of their name, while they run."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def test_a_member_considered_dead_that_sends_a_ping_learns_of_it_and_refutes() -> None:
-    """Nobody probed it any more, and its death was gossiped no longer."""
+    """Nobody probes a member considered dead, and the gossip about its death has ended."""
     observer, accused = new_member("d0"), new_member("d1")
     introduce(observer, accused)
     introduce(accused, observer)
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("forgotten", [False, True])
 def test_two_groups_that_consider_each_other_dead_merge_again(forgotten: bool) -> None:
-    """After a minute dead members are forgotten: then the seeds bring the groups together."""
+    """Dead members are forgotten after a minute; from then on only the seeds can reconnect the groups."""
     members = [new_member(f"d{number}") for number in range(4)]
     for member in members:
         introduce(member, *[other for other in members if other is not member])
@@ -86,13 +86,16 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_a_superseded_process_is_told_of_the_later_one_at_its_own_address(known: bool) -> None:
-    """Messages to the name went to the later process, also when that was dead; the earlier never learned."""
+def test_a_superseded_process_is_notified_of_the_later_one_at_its_own_address(known: bool) -> None:
+    """Messages to a name go to the address of the later process, even if that one is dead.
+
+    Without a notice to its own address the earlier process never learned that it was superseded.
+    """
     observer, earlier = new_member("d0"), new_member("d1")
     later = new_member("d1", generation=5, port=9501)
     introduce(observer, *((earlier, later) if known else (later,)))
     observer.view.merge(as_dead(later.view.own_record), 0, "d0")
-    # Where the earlier process is not known, its own message tells its address.
+    # If the earlier process is not known, the observer learns its address from its own message.
     message = Ping(7, None, []) if known else FullSync([earlier.view.own_record], True)
     outgoing = observer.handle(envelope_from(earlier, message), 1000)
     notices = [
@@ -102,7 +105,7 @@
     ]
     assert notices
     assert not any(notice.reply_wanted for notice in notices)
-    # A notice is not answered: two superseded processes would go on for ever (random run 59).
+    # A notice is not answered: two superseded processes would answer each other forever (random run 59).
     notice = FullSync([earlier.view.own_record], False)
     assert observer.handle(envelope_from(earlier, notice), 1000) == []
     deliver(outgoing, observer, earlier, 1000)
@@ -110,7 +113,7 @@
 
 
 def test_names_that_are_forgotten_leave_nothing_behind() -> None:
-    """A peer that makes up names, each started twice, must not fill the memory."""
+    """A peer that invents names, each with two generations, must not fill the memory."""
     observer = new_member("d0")
     for number in range(1, 50):
         name = f"d{number}"
@@ -123,6 +126,6 @@
 
 
 @pytest.mark.parametrize("seed", [8, 38, 56, 59])
-def test_runs_on_which_members_and_ledgers_once_differed_after_quiet_agree(seed: int) -> None:
+def test_members_and_ledgers_agree_after_quiet_on_seeds_that_once_left_them_different(seed: int) -> None:
     outcome = random_runs.play(seed)
     assert outcome.agree and outcome.ledgers == 1 and outcome.overruns == 0
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams: what is encoded is decoded, and corrupt ones are rejected."""
+"""Datagrams: messages are decoded as they were encoded, and corrupt datagrams are rejected."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 def test_a_corrupt_datagram_is_rejected_and_one_with_a_valid_checksum_never_raises() -> None:
     generator = random.Random(5)
-    records = [MemberRecord(f"d{n}", 10**15, 3, MemberState(n % 4), ADDRESS) for n in range(9)]
+    records = [MemberRecord(f"d{number}", 10**15, 3, MemberState(number % 4), ADDRESS) for number in range(9)]
     valid = [
         encode(("d1", 5), message)
         for message in (
@@ -76,7 +76,8 @@
             changed[generator.randrange(len(changed))] ^= 1 << generator.randrange(8)
         del changed[generator.choice((len(changed), generator.randrange(len(changed) + 1))) :]
         assert bytes(changed) in valid or decode(bytes(changed)) is None
-    # With a checksum that fits it is some member's message: it must be rejected or handled, and not raise.
+    # A changed body with a matching checksum looks like a valid message: it must be rejected or handled, and
+    # must not raise.
     member = VirtualCluster(1, ["d0"]).begin("d0").agent
     for _ in range(20_000):
         body = bytearray(generator.choice(valid)[4:])
--- a/tests/cluster/test_probing.py
+++ b/tests/cluster/test_probing.py
@@ -17,6 +17,6 @@
 def test_members_that_have_gone_are_skipped_and_new_ones_wait_for_the_next_round() -> None:
     order = ProbeOrder(LinearCongruentialGenerator(1))
     first = order.next_target(["d0", "d1", "d2"])
-    left = [name for name in ("d0", "d1", "d2") if name != first]
-    assert order.next_target([left[0], "d3"]) == left[0]
+    remaining = [name for name in ("d0", "d1", "d2") if name != first]
+    assert order.next_target([remaining[0], "d3"]) == remaining[0]
     assert {order.next_target(["d3", "d4"]) for _ in range(2)} == {"d3", "d4"}
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -15,7 +15,7 @@
 
 import pytest
 from helpers import Checked, HandPlayed, submission
-from helpers import terms as terms_of
+from helpers import terms as scheduler_config
 
 from locktide.cluster.config import ClusterConfig
 from locktide.cluster.messages import InspectionRequest, decode, encode
@@ -40,14 +40,14 @@
 
 
 class ProcessesWithGreedyLeader(ProcessCluster):
-    """The leader grants the whole to each member."""
+    """Processes whose leader grants the whole of each quota to each member."""
 
     program = (
         "-c",
         (
             "from locktide.cluster.quota import allocator\n"
-            "def whole(self, who, budget, held, steps, now): return self.divisible[budget]\n"
-            "allocator.Allocator.share_for = whole\n"
+            "def grant_whole(self, member_id, quota, held, may_step, now): return self.divisible[quota]\n"
+            "allocator.Allocator.share_for = grant_whole\n"
             "from locktide.cli.main import main; main()"
         ),
     )
@@ -61,7 +61,7 @@
     assert outcome.overruns
 
 
-FILE = """
+INSTALLATION_FILE = """
 [serve]
 name = "d0"
 listen = "127.0.0.1:{port}"
@@ -83,10 +83,10 @@
 
 def test_a_single_dispatcher_can_be_inspected_and_stops_cleanly(tmp_path: Path) -> None:
     udp, path = free_port(socket.SOCK_DGRAM), tmp_path / "here.toml"
-    path.write_text(FILE.format(port=free_port(socket.SOCK_STREAM), udp=udp))
+    path.write_text(INSTALLATION_FILE.format(port=free_port(socket.SOCK_STREAM), udp=udp))
     command = [sys.executable, "-m", "locktide.cli.main"]
     environment = {**os.environ, "PYTHONPATH": str(REPOSITORY)}
-    show = [*command, "accord", "show", f"127.0.0.1:{udp}"]
+    show_command = [*command, "accord", "show", f"127.0.0.1:{udp}"]
 
     def run(arguments: list[str]) -> subprocess.CompletedProcess[str]:
         return subprocess.run(arguments, env=environment, capture_output=True, text=True, check=False)
@@ -94,20 +94,20 @@
     process = subprocess.Popen([*command, "serve", str(path)], stderr=subprocess.PIPE, env=environment)
     try:
         deadline = time.monotonic() + 15.0
-        shown: dict[str, Any] = {"parts": {"dairy": 0}}
-        while shown["parts"]["dairy"] < 910_000 and time.monotonic() < deadline:
-            answer = run([*show, "--json"])
-            shown = json.loads(answer.stdout) if answer.returncode == 0 else shown
-        # The whole but for the floors of two that may come, and a step too small to make.
-        assert 910_000 < shown["parts"]["dairy"] <= 1_000_000 - 2 * 33_333 and shown["led_by"] == "d0"
-        printed = run(show).stdout
-        assert "dairy" in printed and "led by d0" in printed and "alive" in printed
-        second = run([*command, "serve", str(path)])
-        assert second.returncode == 1 and "listen" in second.stderr
+        view: dict[str, Any] = {"parts": {"dairy": 0}}
+        while view["parts"]["dairy"] < 910_000 and time.monotonic() < deadline:
+            answer = run([*show_command, "--json"])
+            view = json.loads(answer.stdout) if answer.returncode == 0 else view
+        # The whole less the guaranteed minimums of two further members, and less a step within the dead band.
+        assert 910_000 < view["parts"]["dairy"] <= 1_000_000 - 2 * 33_333 and view["led_by"] == "d0"
+        output = run(show_command).stdout
+        assert "dairy" in output and "led by d0" in output and "alive" in output
+        second_run = run([*command, "serve", str(path)])
+        assert second_run.returncode == 1 and "listen" in second_run.stderr
     finally:
         process.terminate()
     assert process.wait(20) == 0
-    assert run(show).returncode == 1
+    assert run(show_command).returncode == 1
 
 
 def test_an_inspection_is_answered_on_loopback_only() -> None:
@@ -161,11 +161,11 @@
     ],
 )
 def test_a_faulty_accord_section_names_its_key(change: tuple[str, str], key: str) -> None:
-    text = FILE.format(port=7, udp=8)
+    text = INSTALLATION_FILE.format(port=7, udp=8)
     assert parse_installation(text).cluster.enabled
-    with pytest.raises(ConfigFileError) as found:
+    with pytest.raises(ConfigFileError) as raised:
         parse_installation(text.replace(*change))
-    assert key in str(found.value)
+    assert key in str(raised.value)
 
 
 def test_nothing_of_the_cluster_is_imported_while_it_is_off(tmp_path: Path) -> None:
@@ -173,102 +173,116 @@
         "import sys, locktide.__main__, locktide.cli.serve\n"
         "print([name for name in sys.modules if name.startswith('locktide.cluster')])"
     )
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, cwd=REPOSITORY, check=False
     )
-    assert told.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
 
 
-def checked(parts: QuotaSharesUpdated | None, after: int = 0) -> Checked:
-    made = Checked(fleet=10)
-    if parts is not None:
-        made.turn(parts)
-    made.now += after
-    # A second of it, once what was there at the start is used up.
+def scheduler_with_shares(update: QuotaSharesUpdated | None, after: int = 0) -> Checked:
+    harness = Checked(fleet=10)
+    if update is not None:
+        harness.turn(update)
+    harness.now += after
+    # Uses up the tokens that are there at the start.
     for _ in range(100):
-        covered(made)
-    return made
+        next_coverage(harness)
+    return harness
 
 
-def covered(made: Checked) -> str:
-    """Return by what one more request is covered."""
-    made.dispatcher.clock.now = made.now
-    return made.dispatcher.quotas.cover("dairy").value
+def next_coverage(harness: Checked) -> str:
+    """Return the quota coverage of one more request."""
+    harness.dispatcher.clock.now = harness.now
+    return harness.dispatcher.quotas.cover("dairy").value
 
 
-def taken(made: Checked) -> list[str]:
-    """By what a hundred submissions in four seconds are covered."""
-    found = []
+def coverage_of_requests(harness: Checked) -> list[str]:
+    """Return the quota coverage of each of a hundred requests within four seconds."""
+    coverages = []
     for _ in range(100):
-        made.now += 40_000
-        found.append(covered(made))
-    return found
+        harness.now += 40_000
+        coverages.append(next_coverage(harness))
+    return coverages
 
 
 def test_the_scheduler_uses_shares_until_they_expire_and_even_ones_where_it_has_none() -> None:
-    # A rate of five a second: a tenth of it, all of it, and after its time the floor.
-    assert taken(checked(None)).count("own") == 2
+    # The rate is five a second. Without an update an even share applies, which is a tenth; then the whole;
+    # and after the expiry the guaranteed minimum, a tenth as well.
+    assert coverage_of_requests(scheduler_with_shares(None)).count("own") == 2
     stages = [QuotaStage(30_000_000, {"dairy": 1.0}), QuotaStage(1 << 62, {"dairy": 0.1})]
-    assert taken(checked(QuotaSharesUpdated(stages))).count("own") == 20
-    assert taken(checked(QuotaSharesUpdated(stages), after=30_000_000)).count("own") == 2
+    assert coverage_of_requests(scheduler_with_shares(QuotaSharesUpdated(stages))).count("own") == 20
+    assert (
+        coverage_of_requests(scheduler_with_shares(QuotaSharesUpdated(stages), after=30_000_000)).count("own")
+        == 2
+    )
     lent = [QuotaStage(30_000_000, {"dairy": 0.2}, {"dairy": 0.4}), *stages[1:]]
-    found = taken(checked(QuotaSharesUpdated(lent)))
-    assert (found.count("own"), found.count("borrowed")) == (4, 7)
-    assert "borrowed" not in taken(checked(QuotaSharesUpdated(lent), after=30_000_000))
-    over = taken(checked(QuotaSharesUpdated(stages, frozenset(["dairy"]), 20_000_000)))
-    assert set(over) == {"beyond"}
-    assert "own" in taken(
-        checked(QuotaSharesUpdated(stages, frozenset(["dairy"]), 20_000_000), after=20_000_000)
+    coverages = coverage_of_requests(scheduler_with_shares(QuotaSharesUpdated(lent)))
+    assert (coverages.count("own"), coverages.count("borrowed")) == (4, 7)
+    assert "borrowed" not in coverage_of_requests(
+        scheduler_with_shares(QuotaSharesUpdated(lent), after=30_000_000)
+    )
+    over_share = coverage_of_requests(
+        scheduler_with_shares(QuotaSharesUpdated(stages, frozenset(["dairy"]), 20_000_000))
+    )
+    assert set(over_share) == {"beyond"}
+    assert "own" in coverage_of_requests(
+        scheduler_with_shares(QuotaSharesUpdated(stages, frozenset(["dairy"]), 20_000_000), after=20_000_000)
     )
 
 
 def test_requests_admitted_under_a_loan_that_ends_wait_as_over_quota_or_are_rejected() -> None:
-    """Requests that wait were admitted under a loan, and the loan ends, as its lender is busy again.
+    """A loan ends, as its lender has demand again, while requests that were admitted under it still wait.
 
-    They must wait no longer than requests beyond their tenant's quota from then on, and be rejected then.
+    From then on they must wait no longer than requests beyond their tenant's quota, and then be rejected.
     """
     lent = [QuotaStage(1 << 62, {"dairy": 0.0}, {"dairy": 1.0})]
-    made = Checked(fleet=1)
-    made.turn(QuotaSharesUpdated(lent))
-    made.dispatcher.quotas.buckets["dairy"].level = 0.0
-    made.dispatcher.quotas.cover("dairy")  # from here on a loan makes tokens, it brings none
-    made.now += 1_000_000
+    harness = Checked(fleet=1)
+    harness.turn(QuotaSharesUpdated(lent))
+    harness.dispatcher.quotas.buckets["dairy"].level = 0.0
+    harness.dispatcher.quotas.cover(
+        "dairy"
+    )  # starts the loan's bucket, which is empty at first and fills over time
+    harness.now += 1_000_000
     for number in range(4):
-        made.turn(RequestArrived(f"s{number}", "record", made.now + 6_000_000, tenant="dairy"))
-    pool = made.dispatcher.requests.waiting
+        harness.turn(RequestArrived(f"s{number}", "record", harness.now + 6_000_000, tenant="dairy"))
+    pool = harness.dispatcher.requests.waiting
     before = [request.queue_deadline for request in pool]
     assert [request.borrowing_tenant for request in pool] == ["dairy"] * 4
-    made.turn(QuotaSharesUpdated([QuotaStage(1 << 62, {"dairy": 0.0}, {"dairy": 0.5})]))
-    assert [request.queue_deadline for request in pool] == before, "the loan is smaller, not over"
-    made.turn(QuotaSharesUpdated([QuotaStage(1 << 62, {"dairy": 0.0})]))
-    assert [request.queue_deadline < early for request, early in zip(pool, before, strict=True)] == [True] * 4
+    harness.turn(QuotaSharesUpdated([QuotaStage(1 << 62, {"dairy": 0.0}, {"dairy": 0.5})]))
+    assert [request.queue_deadline for request in pool] == before, "the loan is smaller, but has not ended"
+    harness.turn(QuotaSharesUpdated([QuotaStage(1 << 62, {"dairy": 0.0})]))
+    assert [request.queue_deadline < previous for request, previous in zip(pool, before, strict=True)] == [
+        True
+    ] * 4
     assert [request.borrowing_tenant for request in pool] == [None] * 4
-    later = max(request.queue_deadline for request in pool)
-    made.now = later
-    orders = made.turn()
-    assert sum(type(order) is RejectRequest for order in orders) == 4
+    last_deadline = max(request.queue_deadline for request in pool)
+    harness.now = last_deadline
+    commands = harness.turn()
+    assert sum(type(command) is RejectRequest for command in commands) == 4
 
 
 def test_the_member_emits_quota_shares_and_counts_requests_as_demand() -> None:
     async def run() -> None:
-        play = HandPlayed()
+        harness = HandPlayed()
         address = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
         quotas = [QuotaSpec("dairy", 5.0, 25.0)]
         config = ClusterConfig(("d0", 1), address, {"d0": address}, [], quotas, 0.2, 2)
-        transport = await open_udp_transport(config, play.node.log, play.node.bridge, address)
+        transport = await open_udp_transport(config, harness.node.log, harness.node.bridge, address)
         request = replace(submission("a"), tenant="dairy")
-        play.node.submit(request)
+        harness.node.submit(request)
         assert transport.member.local_quota.demand == {"dairy": 1}
-        await play.settle()
-        updates = [event for _, events in play.turns for event in events if type(event) is QuotaSharesUpdated]
+        await harness.settle()
+        updates = [
+            event for _, events in harness.turns for event in events if type(event) is QuotaSharesUpdated
+        ]
         assert [stage.shares for stage in updates[0].stages] == [{"dairy": 0.1}] * 2
-        assert play.node.scheduler.quotas.shares is updates[-1]
-        count = len(play.turns)
-        play.node.bridge.enqueue_event(ConfigReloaded(terms_of(3, 1, False, 0.4)))
+        assert harness.node.scheduler.quotas.shares is updates[-1]
+        count = len(harness.turns)
+        harness.node.bridge.enqueue_event(ConfigReloaded(scheduler_config(3, 1, False, 0.4)))
         await asyncio.sleep(0.01)
-        assert len(play.turns) > count
-        assert play.node.scheduler.quotas.shares.stages[-1].shares == {"dairy": 0.1}
+        assert len(harness.turns) > count
+        assert harness.node.scheduler.quotas.shares.stages[-1].shares == {"dairy": 0.1}
         await transport.close()
-        assert play.node.bridge.observers == []
+        assert harness.node.bridge.observers == []
 
     asyncio.run(run())
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas: what is in force never sums to more than the whole, whatever fails."""
+"""Quotas: the shares and loans in force never sum to more than the whole, whatever fails."""
 
 from __future__ import annotations
 
@@ -34,101 +34,101 @@
 
 
 @given(st.dictionaries(st.text(max_size=5), st.integers(0, 10**6), max_size=9), st.integers(0, 10**6))
-def test_targets_never_sum_to_more_than_there_is(wants: dict[str, int], whole: int) -> None:
-    for floor in (0, 1, whole // 7, 10**6):
-        found = target_shares(wants, whole, floor)
-        assert found.keys() == wants.keys()
-        assert sum(found.values()) <= whole and all(part >= 0 for part in found.values())
-        assert found == target_shares(dict(reversed(wants.items())), whole, floor)
+def test_targets_never_sum_to_more_than_there_is(demand: dict[str, int], divisible: int) -> None:
+    for minimum in (0, 1, divisible // 7, 10**6):
+        targets = target_shares(demand, divisible, minimum)
+        assert targets.keys() == demand.keys()
+        assert sum(targets.values()) <= divisible and all(share >= 0 for share in targets.values())
+        assert targets == target_shares(dict(reversed(demand.items())), divisible, minimum)
 
 
 @settings(max_examples=60)
 @given(st.lists(st.tuples(st.integers(1, 400_000), st.integers(0, 3), st.integers(0, 10**6)), max_size=60))
 def test_buckets_whose_shares_move_spend_no_more_than_the_whole(steps: list[tuple[int, int, int]]) -> None:
-    meter, now = QuotaChecker({"x": (50.0, 10.0)}), 0
-    parts = [250_000] * 4
-    buckets = [TokenBucket(50.0, 10.0, part, 0) for part in parts]
-    for span, place, part in steps:
+    checker, now = QuotaChecker({"x": (50.0, 10.0)}), 0
+    shares = [250_000] * 4
+    buckets = [TokenBucket(50.0, 10.0, share, 0) for share in shares]
+    for span, index, share in steps:
         now += span
-        free = 1_000_000 - sum(parts) + parts[place]
-        parts[place] = min(part, free)
-        buckets[place].set_share(parts[place], now)
-        for one in buckets:
-            while one.spend(now):
-                meter.spend("x", now)
-    assert not meter.overruns()
+        available = 1_000_000 - sum(shares) + shares[index]
+        shares[index] = min(share, available)
+        buckets[index].set_share(shares[index], now)
+        for bucket in buckets:
+            while bucket.spend(now):
+                checker.spend("x", now)
+    assert not checker.overruns()
 
 
 def test_share_follows_demand_and_is_free_again_within_a_lease_and_a_second_of_its_holders_death() -> None:
     """One member gets all the demand, so that nearly the whole quota moves to it; then it is killed.
 
-    Its share cannot be returned any more. It must not be granted to others while it may be in force, and it
-    must not be lost for longer than the lease and a second.
+    The dead member cannot return its share. The share must not be granted to others while it may be in force,
+    and must be granted to them within the lease and a second.
     """
-    world = settled_cluster()
-    busy = world.all[0] if world.all[0].agent.allocator is None else world.all[1]
+    cluster = settled_cluster()
+    busy = cluster.all[0] if cluster.all[0].agent.allocator is None else cluster.all[1]
 
-    def ask() -> None:
+    def spend_tokens() -> None:
         for _ in range(30):
             busy.spend("dairy")
-        world.at(world.now + 100_000, ask)
+        cluster.at(cluster.now + 100_000, spend_tokens)
 
-    world.at(world.now, ask)
-    world.run(10 * SECOND)
+    cluster.at(cluster.now, spend_tokens)
+    cluster.run(10 * SECOND)
     assert busy.agent.local_quota.shares["dairy"] > 600_000
     busy.kill()
-    world.run(10 * SECOND + SHARE_LEASE + SECOND)
-    left = [one.agent.local_quota.shares["dairy"] for one in world.all if one.alive]
-    assert sum(left) > 900_000 - busy.agent.local_quota.guaranteed_minimum
-    assert not world.meter.overruns()
+    cluster.run(10 * SECOND + SHARE_LEASE + SECOND)
+    shares = [process.agent.local_quota.shares["dairy"] for process in cluster.all if process.alive]
+    assert sum(shares) > 900_000 - busy.agent.local_quota.guaranteed_minimum
+    assert not cluster.meter.overruns()
 
 
 def test_death_of_the_leader_costs_shares_only_until_another_is_elected() -> None:
-    """The leader is killed, so nobody grants leases until another member has the leader lease.
+    """The leader is killed, so nobody grants leases until another member holds the leader lease.
 
-    Shares may expire meanwhile. After that one member has to lead, and the shares of those alive have to be
-    nearly the whole again, without any moment at which they were more.
+    Shares may expire in the meantime. After that one member must lead, and the shares of the live members
+    must sum to nearly the whole again, and to more than the whole at no moment.
     """
-    world = settled_cluster()
-    leader = next(one for one in world.all if one.agent.allocator is not None)
+    cluster = settled_cluster()
+    leader = next(process for process in cluster.all if process.agent.allocator is not None)
     leader.kill()
-    world.run(14 * SECOND)
-    live = [one for one in world.all if one.alive]
-    assert sum(one.agent.allocator is not None for one in live) == 1
-    assert sum(one.agent.local_quota.shares["dairy"] for one in live) > 800_000
-    assert not world.meter.overruns()
+    cluster.run(14 * SECOND)
+    live = [process for process in cluster.all if process.alive]
+    assert sum(process.agent.allocator is not None for process in live) == 1
+    assert sum(process.agent.local_quota.shares["dairy"] for process in live) > 800_000
+    assert not cluster.meter.overruns()
 
 
 def test_member_that_is_cut_off_spends_its_guaranteed_minimum_and_no_more() -> None:
-    """One member loses the network for longer than any lease, also one that it granted itself as the leader.
+    """One member loses the network for longer than any lease, even one that it granted itself as the leader.
 
-    With its former share it would spend what others have by then, and with nothing it would reject all of its
-    clients. It must have its guaranteed minimum, which needs no message.
+    If it kept its share, it would spend what others hold by then; if it had nothing, it would reject all of
+    its clients. It must have its guaranteed minimum, which needs no message.
     """
-    world = settled_cluster()
-    alone = world.all[4]
-    world.net.cut = {pair for name in world.names for pair in (("d4", name), (name, "d4"))}
-    world.run(13 * SECOND)  # also if it led: its lease, and what it gave itself at the end of that
-    assert alone.agent.local_quota.shares["dairy"] == alone.agent.local_quota.guaranteed_minimum > 0
-    spent = alone.spent
+    cluster = settled_cluster()
+    isolated = cluster.all[4]
+    cluster.net.cut = {link for name in cluster.names for link in (("d4", name), (name, "d4"))}
+    cluster.run(13 * SECOND)  # covers the leader lease, and a share that it granted itself at the end of it
+    assert isolated.agent.local_quota.shares["dairy"] == isolated.agent.local_quota.guaranteed_minimum > 0
+    spent = isolated.spent
     for _ in range(200):
-        world.run(world.now + 50_000)
-        alone.spend("dairy")
-    assert alone.spent > spent, "a floor needs no talk"
-    assert not world.meter.overruns()
+        cluster.run(cluster.now + 50_000)
+        isolated.spend("dairy")
+    assert isolated.spent > spent, "the guaranteed minimum needs no messages"
+    assert not cluster.meter.overruns()
 
 
 @pytest.mark.parametrize("late", [0, 1, 10 * SECOND])
 def test_quota_spends_its_minimum_from_the_expiry_of_its_lease_on(late: int) -> None:
-    """A dispatcher was stopped past the expiry of its lease, and a request was the first thing to reach it.
+    """A dispatcher was stopped past the expiry of its lease, and a request arrived before its timer fired.
 
-    With the tokens of its former share it would spend what others have by then. Of 100 tokens a second and a
-    burst of 100 it has a minimum of three tokens, and 50 more under the lease, which must end by the clock.
+    With the tokens of its expired share it would spend what others hold by then, so the lease must end by the
+    clock. Of 100 tokens a second and a burst of 100, its minimum is three tokens, and the lease adds 50.
     """
-    whole, expiry = QuotaSpec("dairy", 100.0, 100.0), 3 * SECOND
+    spec, expiry = QuotaSpec("dairy", 100.0, 100.0), 3 * SECOND
 
     def tokens_at(now: int) -> int:
-        quota = LocalQuota([whole], reserve=0.15, max_processes=5, now=0)
+        quota = LocalQuota([spec], reserve=0.15, max_processes=5, now=0)
         quota.update({"dairy": 500_000}, expiry, {}, 0, 0)
         return sum(quota.spend("dairy", now) is not None for _ in range(100))
 
@@ -139,27 +139,28 @@
 def test_process_stopped_past_its_lease_spends_its_minimum_before_its_next_tick() -> None:
     """The same in a running cluster: a process is stopped until its lease has expired, then gets requests.
 
-    Neither a message nor its timer reaches it before them. It must spend its guaranteed minimum at most.
+    Neither a message nor its timer reaches the process before the requests. It must spend at most its
+    guaranteed minimum.
     """
-    world = settled_cluster()
-    stopped = next(process for process in world.all if process.agent.allocator is None)
-    agent, rate, burst = stopped.agent, 60, 60
-    held, floor = agent.local_quota.shares["dairy"], agent.local_quota.guaranteed_minimum
-    assert held > 3 * floor > 0
+    cluster = settled_cluster()
+    stopped = next(process for process in cluster.all if process.agent.allocator is None)
+    member, rate, burst = stopped.agent, 60, 60
+    held, minimum = member.local_quota.shares["dairy"], member.local_quota.guaranteed_minimum
+    assert held > 3 * minimum > 0
     stopped.pause()
-    while stopped.clock() < agent.local_quota.shares_until:
-        world.run(world.now + 100_000)
-    assert agent.local_quota.shares["dairy"] == held, "nothing has reached it that could have ended the lease"
-    spent = sum(agent.spend("dairy", stopped.clock()) is not None for _ in range(rate + burst))
-    assert spent <= burst * floor // 1_000_000
-    assert agent.local_quota.shares["dairy"] == floor
+    while stopped.clock() < member.local_quota.shares_until:
+        cluster.run(cluster.now + 100_000)
+    assert member.local_quota.shares["dairy"] == held, "neither a message nor the timer has ended the lease"
+    spent = sum(member.spend("dairy", stopped.clock()) is not None for _ in range(rate + burst))
+    assert spent <= burst * minimum // 1_000_000
+    assert member.local_quota.shares["dairy"] == minimum
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_random_run_with_faults_overruns_no_quota(seed: int) -> None:
-    told = random_runs.play(seed)
-    assert not told.overruns, told.first
-    assert told.led_again and told.spent
+    outcome = random_runs.play(seed)
+    assert not outcome.overruns, outcome.first
+    assert outcome.led_again and outcome.spent
 
 
 def test_same_seed_gives_the_same_run() -> None:
@@ -167,96 +168,98 @@
 
 
 def test_no_order_of_events_overruns_a_quota() -> None:
-    found = model_checking.search(4_000)
-    assert not found.breach and found.depth >= 4
+    result = model_checking.search(4_000)
+    assert not result.breach and result.depth >= 4
 
 
-# --- that the proofs can fail: each fault is put in, and must be found
+# --- injected faults that the checkers must find
 
 
-def forgets_expiry(monkeypatch: pytest.MonkeyPatch) -> None:
-    settle = LocalQuota.update
+def ignore_lease_expiry(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_update = LocalQuota.update
 
-    def kept(self: Any, held: Any, shares_until: int, loans: Any, loans_until: int, now: int) -> bool:
-        moved = settle(self, held, shares_until, loans, loans_until, now)
+    def update_without_expiry(
+        self: Any, held: Any, shares_until: int, loans: Any, loans_until: int, now: int
+    ) -> bool:
+        changed = original_update(self, held, shares_until, loans, loans_until, now)
         self.shares_until = 1 << 61 if held else 0
-        return moved
+        return changed
 
     monkeypatch.setattr(LeaseHolder, "current_shares", lambda self, now: self.shares)
     monkeypatch.setattr(LocalQuota, "expire", lambda self, now: False)
-    monkeypatch.setattr(LocalQuota, "update", kept)
+    monkeypatch.setattr(LocalQuota, "update", update_without_expiry)
 
 
-def waits_out_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin = Allocator.__init__
+def skip_wait_for_earlier_grants(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_init = Allocator.__init__
 
-    def eager(self: Any, *args: Any, **more: Any) -> None:
-        begin(self, *args, **more)
+    def init_without_wait(self: Any, *args: Any, **kwargs: Any) -> None:
+        original_init(self, *args, **kwargs)
         self.renew_only_until = 0
 
-    monkeypatch.setattr(Allocator, "__init__", eager)
+    monkeypatch.setattr(Allocator, "__init__", init_without_wait)
 
 
-def doubles_the_burst(monkeypatch: pytest.MonkeyPatch) -> None:
-    move = TokenBucket.set_share
+def add_tokens_to_growing_shares(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_set_share = TokenBucket.set_share
 
-    def brings(self: Any, part: int, now: int) -> None:
+    def set_share_with_tokens(self: Any, share: int, now: int) -> None:
         self.refill(now)
-        grown = self.burst * max(0, part - self.share) // 1_000_000
-        move(self, part, now)
-        self.level += grown
+        added = self.burst * max(0, share - self.share) // 1_000_000
+        original_set_share(self, share, now)
+        self.level += added
 
-    monkeypatch.setattr(TokenBucket, "set_share", brings)
+    monkeypatch.setattr(TokenBucket, "set_share", set_share_with_tokens)
 
 
-def elects_two(monkeypatch: pytest.MonkeyPatch) -> None:
+def elect_without_majority(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Proposer, "quorum", property(lambda self: 1))
 
 
-@pytest.mark.parametrize("doubled", [False, True])
+@pytest.mark.parametrize("has_fault", [False, True])
 def test_burst_that_moves_between_members_is_spent_once(
-    doubled: bool, monkeypatch: pytest.MonkeyPatch
+    has_fault: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if doubled:
-        doubles_the_burst(monkeypatch)
-    world = settled_cluster()
+    if has_fault:
+        add_tokens_to_growing_shares(monkeypatch)
+    cluster = settled_cluster()
     for step in range(600):
-        for process in world.all:
+        for process in cluster.all:
             for _ in range(9 if process.name == f"d{step // 40 % 2}" else 1):
                 process.spend("dairy")
-        world.run(world.now + 50_000)
-    assert bool(world.meter.overruns()) == doubled
+        cluster.run(cluster.now + 50_000)
+    assert bool(cluster.meter.overruns()) == has_fault
 
 
-@pytest.mark.parametrize("fault", [forgets_expiry, waits_out_nothing, elects_two])
+@pytest.mark.parametrize("fault", [ignore_lease_expiry, skip_wait_for_earlier_grants, elect_without_majority])
 def test_checker_finds_each_injected_fault(fault: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     fault(monkeypatch)
     assert any(random_runs.play(seed).overruns for seed in range(40))
 
 
 def test_model_checking_finds_an_allocator_that_does_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    def grasping(self: Any, who: Any, budget: str, held: int, steps: bool, now: int) -> int:
-        return int(self.divisible[budget])
-
-    monkeypatch.setattr(Allocator, "share_for", grasping)
-    found = model_checking.search(4_000)
-    assert found.breach
-
-
-def test_checker_on_a_run_made_by_hand() -> None:
-    meter = QuotaChecker({"x": (10.0, 5.0)})
-    meter.in_force("a", 0, {"x": 600_000}, 100, 50_000)
-    meter.in_force("b", 100, {"x": 900_000}, 300, 50_000)
-    assert not meter.overruns(), "what ends at an instant does not overlap what begins there"
-    meter.in_force("c", 150, {"x": 60_000}, 0, 60_000)
-    assert [one.at for one in meter.overruns()] == [150]
-    meter.end("a", 140)
-    assert not meter.overruns()
-    for at in (0, 0, 0, 0, 0, 100_000):
-        meter.spend("x", at)
-    assert not meter.overruns()
-    meter.spend("x", 100_001)
-    assert [one.at for one in meter.overruns()] == [100_001]
+    def grant_whole_quota(self: Any, member_id: Any, quota: str, held: int, may_step: bool, now: int) -> int:
+        return int(self.divisible[quota])
+
+    monkeypatch.setattr(Allocator, "share_for", grant_whole_quota)
+    result = model_checking.search(4_000)
+    assert result.breach
+
+
+def test_checker_reports_overlapping_shares_and_excess_tokens() -> None:
+    checker = QuotaChecker({"x": (10.0, 5.0)})
+    checker.in_force("a", 0, {"x": 600_000}, 100, 50_000)
+    checker.in_force("b", 100, {"x": 900_000}, 300, 50_000)
+    assert not checker.overruns(), "a share that ends at an instant does not overlap one that begins then"
+    checker.in_force("c", 150, {"x": 60_000}, 0, 60_000)
+    assert [overrun.at for overrun in checker.overruns()] == [150]
+    checker.end("a", 140)
+    assert not checker.overruns()
+    for moment in (0, 0, 0, 0, 0, 100_000):
+        checker.spend("x", moment)
+    assert not checker.overruns()
+    checker.spend("x", 100_001)
+    assert [overrun.at for overrun in checker.overruns()] == [100_001]
 
 
 def test_virtual_cluster_runs_the_cluster_member() -> None:
--- a/tests/cluster/test_quota_names.py
+++ b/tests/cluster/test_quota_names.py
@@ -20,5 +20,5 @@
     }
 
 
-def test_names_that_are_no_quotas_are_left_out_and_the_order_is_kept() -> None:
+def test_names_that_are_not_quotas_are_left_out_and_the_order_is_kept() -> None:
     assert QuotaNames(["goats", "dairy"]).known_indices(["goats", "sheep", "dairy"]) == [1, 0]
--- a/tests/cluster_helpers.py
+++ b/tests/cluster_helpers.py
@@ -1,4 +1,4 @@
-"""What tests of the cluster share."""
+"""Helpers of the cluster's tests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def settled_cluster(seed: int = 3, members: int = 5, seconds: int = 8) -> VirtualCluster:
-    """A cluster in virtual time, once it has elected a leader and divided its quotas."""
+    """Return a cluster in virtual time that has elected a leader and divided its quotas."""
     cluster = VirtualCluster(seed, [f"d{number}" for number in range(members)], 3 if members < 5 else 5)
     for name in cluster.names:
         cluster.begin(name)
@@ -29,14 +29,14 @@
 
 
 def live_member(cluster: VirtualCluster, name: str) -> VirtualMember:
-    """The process of that name that is alive."""
+    """Return the live process of that name."""
     process = cluster.live(name)
     assert process is not None
     return process
 
 
 def ledger_of(process: VirtualMember) -> FairnessLedger:
-    """The fairness ledger of a member that is configured with one."""
+    """Return the fairness ledger of a member that is configured with one."""
     ledger = process.agent.ledger
     assert ledger is not None
     return ledger
--- a/tests/test_datagram_bytes.py
+++ b/tests/test_datagram_bytes.py
@@ -1,7 +1,7 @@
-"""Datagrams between dispatchers, byte for byte: dispatchers of different releases talk to each other.
+"""Datagrams between dispatchers, byte for byte, as dispatchers of different releases exchange them.
 
-The bytes were written once by the program of commit 53c25d5 (format version 2), before its classes were
-renamed. Fields are given by name, so that two of one type cannot change places unseen.
+The expected bytes were produced once by the program of commit 53c25d5 (format version 2), before its classes
+were renamed. Fields are given by name, so that a swap of two fields of one type makes a test fail.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import pytest
 
-from locktide.cluster import messages as words
+from locktide.cluster import messages
 from locktide.cluster.config import ClusterConfig
 from locktide.cluster.fairness.ledger import FairnessConfig
 from locktide.cluster.fairness.replicated_ledger import ReplicatedLedger
@@ -28,71 +28,71 @@
 
 SENDER = ("d0", 1_700_000_000_000_001)
 BALLOT, LATER = (3, "d1", 7), (2**40, "d2", 8)
-ROW = MemberRecord(
+RECORD = MemberRecord(
     name="d1",
     generation=1_700_000_000_000_000,
     incarnation=2,
     state=MemberState.LEFT,
     address=("127.0.0.1", 9001),
 )
-OTHER_ROW = MemberRecord(
+OTHER_RECORD = MemberRecord(
     name="d2", generation=5, incarnation=0, state=MemberState.SUSPECT, address=("10.0.0.2", 65_535)
 )
-ENTRY = LedgerRow(index=65_535, version=2, in_use=[1000, 0], waiting=[500])
+LEDGER_ROW = LedgerRow(index=65_535, version=2, in_use=[1000, 0], waiting=[500])
 
-# Each message with its whole datagram in hex: CRC-32, then [version, sender, its start, [tag, fields...]].
+# Each message with its whole datagram in hex: CRC-32, then [version, sender, generation, [tag, fields...]].
 DATAGRAMS: list[tuple[Any, str]] = [
     (
-        words.Ping(sequence=300, target_record=ROW, gossip=[OTHER_ROW]),
+        messages.Ping(sequence=300, target_record=RECORD, gossip=[OTHER_RECORD]),
         "41c041a09402a26430cf00060a24181e400194a450696e67cd012c95a26431cf00060a24181e4000020392a93132372e"
         "302e302e31cd23299195a2643205000192a831302e302e302e32cdffff",
     ),
     (
-        words.Ping(sequence=1, target_record=None, gossip=[]),
+        messages.Ping(sequence=1, target_record=None, gossip=[]),
         "7c269ad19402a26430cf00060a24181e400194a450696e6701c090",
     ),
     (
-        words.IndirectProbe(sequence=2, target="d2", gossip=[ROW]),
+        messages.IndirectProbe(sequence=2, target="d2", gossip=[RECORD]),
         "09f3d43e9402a26430cf00060a24181e400194a550726f626502a264329195a26431cf00060a24181e4000020392a931"
         "32372e302e302e31cd2329",
     ),
     (
-        words.Ack(sequence=3, gossip=[ROW]),
+        messages.Ack(sequence=3, gossip=[RECORD]),
         "acce7da69402a26430cf00060a24181e400193a341636b039195a26431cf00060a24181e4000020392a93132372e302e"
         "302e31cd2329",
     ),
-    (words.Nack(sequence=4), "b20b43579402a26430cf00060a24181e400192a44e61636b04"),
+    (messages.Nack(sequence=4), "b20b43579402a26430cf00060a24181e400192a44e61636b04"),
     (
-        words.FullSync(records=[ROW, OTHER_ROW], reply_wanted=True),
+        messages.FullSync(records=[RECORD, OTHER_RECORD], reply_wanted=True),
         "7d90ea2e9402a26430cf00060a24181e400193a557686f6c659295a26431cf00060a24181e4000020392a93132372e30"
         "2e302e31cd232995a2643205000192a831302e302e302e32cdffffc3",
     ),
     (
-        words.Prepare(ballot=LATER),
+        messages.Prepare(ballot=LATER),
         "83a8190b9402a26430cf00060a24181e400192a75072657061726593cf0000010000000000a2643208",
     ),
     (
-        words.Promise(requested=BALLOT, promised=LATER, lease_owner=("d3", 9), refused=True),
+        messages.Promise(requested=BALLOT, promised=LATER, lease_owner=("d3", 9), refused=True),
         "d45a12c49402a26430cf00060a24181e400195a750726f6d6973659303a264310793cf0000010000000000a264320892"
         "a2643309c3",
     ),
     (
-        words.Promise(requested=BALLOT, promised=LATER, lease_owner=None, refused=False),
+        messages.Promise(requested=BALLOT, promised=LATER, lease_owner=None, refused=False),
         "536515ec9402a26430cf00060a24181e400195a750726f6d6973659303a264310793cf0000010000000000a2643208c0"
         "c2",
     ),
     (
-        words.Propose(ballot=BALLOT, lease_owner=("d3", 9)),
+        messages.Propose(ballot=BALLOT, lease_owner=("d3", 9)),
         "c15507369402a26430cf00060a24181e400193a750726f706f73659303a264310792a2643309",
     ),
     (
-        words.Accepted(requested=BALLOT, promised=LATER, refused=False),
+        messages.Accepted(requested=BALLOT, promised=LATER, refused=False),
         "aca4d2359402a26430cf00060a24181e400194a841636365707465649303a264310793cf0000010000000000a2643208"
         "c2",
     ),
-    (words.LeaderHeartbeat(term=BALLOT), "4524ba239402a26430cf00060a24181e400192a44c6561649303a2643107"),
+    (messages.LeaderHeartbeat(term=BALLOT), "4524ba239402a26430cf00060a24181e400192a44c6561649303a2643107"),
     (
-        words.LeaseRequest(
+        messages.LeaseRequest(
             term=LATER,
             number=5,
             held_term=BALLOT,
@@ -107,13 +107,13 @@
         "0003d0908101ce000111709193000109c3cefedcba98",
     ),
     (
-        words.LeaseRequest(
+        messages.LeaseRequest(
             term=LATER, number=5, held_term=None, seq=0, held_shares={}, demand={}, loans=[], leaving=False
         ),
         "3470393b9402a26430cf00060a24181e40019aa341736b93cf0000010000000000a264320805c000808090c200",
     ),
     (
-        words.LeaseGrant(
+        messages.LeaseGrant(
             term=BALLOT,
             number=7,
             seq=8,
@@ -125,11 +125,11 @@
         "0190c3",
     ),
     (
-        words.LeaseRevocation(term=BALLOT, lenders=[0, 4]),
+        messages.LeaseRevocation(term=BALLOT, lenders=[0, 4]),
         "a0b153339402a26430cf00060a24181e400193a6526563616c6c9303a2643107920004",
     ),
     (
-        words.Digest(
+        messages.Digest(
             schema_checksum=11,
             digest=2**63 + 1,
             versions=[("d1", 7, 12)],
@@ -142,15 +142,17 @@
         "0da26430a26439c3",
     ),
     (
-        words.Delta(
+        messages.Delta(
             schema_checksum=14,
-            writer_deltas=[words.WriterDelta(name="d1", generation=7, after_version=15, rows=[ENTRY])],
+            writer_deltas=[
+                messages.WriterDelta(name="d1", generation=7, after_version=15, rows=[LEDGER_ROW])
+            ],
         ),
         "8267cded9402a26430cf00060a24181e400193a4526f77730e9194a26431070f9194cdffff0292cd03e80091cd01f4",
     ),
-    (words.InspectionRequest(request_id=16), "3bd44a1d9402a26430cf00060a24181e400192a44c6f6f6b10"),
+    (messages.InspectionRequest(request_id=16), "3bd44a1d9402a26430cf00060a24181e400192a44c6f6f6b10"),
     (
-        words.InspectionPage(request_id=17, page_index=18, page_count=19, text='{"name": "\u00fc"}'),
+        messages.InspectionPage(request_id=17, page_index=18, page_count=19, text='{"name": "\u00fc"}'),
         "a28a0aa29402a26430cf00060a24181e400195a45365656e111213ae7b226e616d65223a2022c3bc227d",
     ),
 ]
@@ -178,10 +180,10 @@
 }
 
 
-def terms(address: tuple[str, int]) -> ClusterConfig:
-    ledger = FairnessConfig(["slots"], {"dairy": 1, "bakery": 2}, {}, [1000], 1_000_000)
-    budgets = [QuotaSpec("dairy", 5.0, 25.0, True), QuotaSpec("bakery", 1.0, 1.0)]
-    return ClusterConfig(("d0", 1), address, {"d0": address}, [], budgets, 0.2, 2, fairness=ledger)
+def member_config(address: tuple[str, int]) -> ClusterConfig:
+    fairness = FairnessConfig(["slots"], {"dairy": 1, "bakery": 2}, {}, [1000], 1_000_000)
+    quotas = [QuotaSpec("dairy", 5.0, 25.0, True), QuotaSpec("bakery", 1.0, 1.0)]
+    return ClusterConfig(("d0", 1), address, {"d0": address}, [], quotas, 0.2, 2, fairness=fairness)
 
 
 @pytest.mark.parametrize(("message", "datagram"), DATAGRAMS, ids=lambda value: type(value).__name__)
@@ -195,7 +197,7 @@
 
 def test_no_message_type_is_left_out() -> None:
     tags = {
-        words.READER.decode(bytes.fromhex(datagram)[4:]).message.__struct_config__.tag
+        messages.READER.decode(bytes.fromhex(datagram)[4:]).message.__struct_config__.tag
         for _, datagram in DATAGRAMS
     }
     assert tags == {
@@ -217,14 +219,14 @@
         "Look",
         "Seen",
     }
-    assert {kind.__struct_config__.tag for kind in words.Message.__subclasses__()} == tags
+    assert {kind.__struct_config__.tag for kind in messages.Message.__subclasses__()} == tags
 
 
 def test_only_whole_datagrams_of_this_version_are_read() -> None:
-    good = bytes.fromhex("3eb1290e" "9402a00092a44c6f6f6b10")
-    body = good[4:]
-    assert decode(good) is not None
-    assert decode(good[:-1]) is None
+    valid = bytes.fromhex("3eb1290e" "9402a00092a44c6f6f6b10")
+    body = valid[4:]
+    assert decode(valid) is not None
+    assert decode(valid[:-1]) is None
     assert decode(crc32(body).to_bytes(4, "little") + body) is None
     for version in (b"\x01", b"\x03"):
         other = body[:1] + version + body[2:]
@@ -232,41 +234,46 @@
     for length in (1200, 1201):
         longest = encode(
             ("d0", 7),
-            words.InspectionPage(request_id=1, page_index=0, page_count=1, text="x" * (length - 22)),
+            messages.InspectionPage(request_id=1, page_index=0, page_count=1, text="x" * (length - 22)),
         )
         assert len(longest) == length
         assert (decode(longest) is not None) is (length == 1200)
-    assert (words.MAX_DATAGRAM, words.VERSION) == (1200, 2)
+    assert (messages.MAX_DATAGRAM, messages.VERSION) == (1200, 2)
 
 
 def test_digests_and_sums_that_members_compare_are_the_same() -> None:
-    agent = ClusterMember(terms(("127.0.0.1", 9000)), 0)
-    assert agent.ledger is not None
-    assert (agent.quota_names.checksum, agent.ledger.anti_entropy.schema_checksum) == (443426513, 1457360318)
-    book = ReplicatedLedger()
-    book.put(("d1", 7), ENTRY)
-    assert book.digest == 2019037609288762282
-    book.close("d2", (8, 13))
-    assert book.digest == 11458797023336671415
+    member = ClusterMember(member_config(("127.0.0.1", 9000)), 0)
+    assert member.ledger is not None
+    assert (member.quota_names.checksum, member.ledger.anti_entropy.schema_checksum) == (
+        443426513,
+        1457360318,
+    )
+    replica = ReplicatedLedger()
+    replica.put(("d1", 7), LEDGER_ROW)
+    assert replica.digest == 2019037609288762282
+    replica.close("d2", (8, 13))
+    assert replica.digest == 11458797023336671415
 
 
 def test_an_inspection_shows_the_same_keys() -> None:
-    assert json.dumps(inspect(ClusterMember(terms(("127.0.0.1", 9000)), 0), 0)) == json.dumps(INSPECTED)
+    assert json.dumps(inspect(ClusterMember(member_config(("127.0.0.1", 9000)), 0), 0)) == json.dumps(
+        INSPECTED
+    )
 
 
 def test_an_inspection_over_the_socket_shows_the_same_keys() -> None:
-    class Silent:
+    class SilentLog:
         def emit(self, line: str, kind: str = "", event: str = "", **fields: Any) -> None:
             pass
 
     async def run() -> dict[str, Any]:
-        here = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
-        driver = await open_udp_transport(terms(here), Silent(), None, here)
+        own_address = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
+        transport = await open_udp_transport(member_config(own_address), SilentLog(), None, own_address)
         try:
-            return await inspect_member(here)
+            return await inspect_member(own_address)
         finally:
-            await driver.close()
+            await transport.close()
 
-    page = asyncio.run(run())
-    assert list(page) == [*INSPECTED, "refused_datagrams"]
-    assert page["members"][0].keys() == INSPECTED["members"][0].keys()  # type: ignore[index,attr-defined]
+    view = asyncio.run(run())
+    assert list(view) == [*INSPECTED, "refused_datagrams"]
+    assert view["members"][0].keys() == INSPECTED["members"][0].keys()  # type: ignore[index,attr-defined]
