--- a/locktide/cluster/quota/allocation.py
+++ b/locktide/cluster/quota/allocation.py
@@ -12,7 +12,7 @@
 #: the members that have demand.
 EVEN_FRACTION = 0.05
 #: Fraction of the distance to its target that a share moves at each division; divisions are at least half a
-#: request interval apart. A share so reaches its target within a second, and a burst of a tenth of a second
+#: request interval apart. So a share reaches its target after a second, and a burst of a tenth of a second
 #: at one member does not take everything from the others.
 DAMPING = 0.7
 #: Smallest change of a share, as a fraction of an even share: each change costs the burst that moves with it.
