--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: seeded scripts of signals, faults and rough clients, played on loopback and in virtual time."""
+"""The soak: seeded scripts of signals, faults and raw clients, run on loopback and in virtual time."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m soak`: plays seeds, prints a table of verdicts, and exits with 1 if a rule was broken."""
+"""`python -m soak`: runs seeds, prints a table of verdicts, and exits with 1 if a rule was broken."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from soak import loopback, virtual
 from soak.findings import Findings
 
-MOST_FAULTS_SHOWN = 8
+MAX_VIOLATIONS_SHOWN = 8
 
 
 @dataclass(frozen=True)
 class Options:
-    """What is the same for each seed: see the command's help."""
+    """Options that are the same for each seed: see the command's help."""
 
     backend: str
     folder: Path
@@ -28,33 +28,33 @@
     hold_up: bool
 
 
-def play(options: Options, seed: int) -> Findings:
-    """Play one seed."""
+def run_seed(options: Options, seed: int) -> Findings:
+    """Run the script of one seed on the chosen backend."""
     if options.backend == "virtual":
-        return virtual.play(seed, options.hold_up)
+        return virtual.run_seed(seed, options.hold_up)
     folder = options.folder / f"seed-{seed}"
-    return loopback.play(seed, folder, options.program, options.hold_up)
+    return loopback.run_seed(seed, folder, options.program, options.hold_up)
 
 
 @click.command()
 @click.option("--seeds", default="1-3", help="FIRST-LAST")
 @click.option("--backend", type=click.Choice(["loopback", "virtual"]), default="loopback")
-@click.option("--jobs", default=1, help="runs at once; on loopback more than one disturb each other")
-@click.option("--folder", default="", help="where logs go; a temporary folder by default")
-@click.option("--program", default=str(loopback.REPOSITORY), help="the checkout whose dispatchers are played")
-@click.option("--hold-up", is_flag=True, help="hold dispatchers up in each run, not in one of five")
+@click.option("--jobs", default=1, help="runs in parallel; on loopback, parallel runs disturb each other")
+@click.option("--folder", default="", help="folder for logs; a temporary one by default")
+@click.option("--program", default=str(loopback.REPOSITORY), help="the checkout whose dispatchers are run")
+@click.option("--hold-up", is_flag=True, help="hold dispatchers up in every run, not only in one of five")
 def main(seeds: str, backend: str, jobs: int, folder: str, program: str, hold_up: bool) -> None:
-    """Play the soak's scripts of these seeds."""
+    """Run the soak's scripts of these seeds."""
     first, _, last = seeds.partition("-")
     numbers = range(int(first), int(last or first) + 1)
     verdicts: Counter[str] = Counter()
     with tempfile.TemporaryDirectory() as temporary, ProcessPoolExecutor(jobs) as pool:
         options = Options(backend, Path(folder or temporary), Path(program), hold_up)
-        for findings in pool.map(partial(play, options), numbers):
+        for findings in pool.map(partial(run_seed, options), numbers):
             verdicts[findings.verdict] += 1
             click.echo(findings.row())
-            for fault in findings.faults[:MOST_FAULTS_SHOWN]:
-                click.echo(f"       {fault.text}")
+            for violation in findings.violations[:MAX_VIOLATIONS_SHOWN]:
+                click.echo(f"       {violation.text}")
     click.echo(", ".join(f"{count} {verdict}" for verdict, count in sorted(verdicts.items())))
     sys.exit(bool(verdicts["broken"]))
 
--- a/tests/soak/crowd.py
+++ b/tests/soak/crowd.py
@@ -9,78 +9,78 @@
 from typing import Any, Protocol
 
 from locktide.simulation.backend import DISPATCHER_PORT
-from soak.script import DESCRIPTORS
-from soak.stage import SoakStage
+from soak.script import DESCRIPTOR_LIMIT
+from soak.stage import SoakRunner
 
-#: Idle clients of a crowd for each descriptor of a dispatcher: more than there is room for.
-CROWD_PER_DESCRIPTOR = 1.5
-#: Part of them that comes at once.
-FILLED_AT_ONCE = 4
-#: Seconds between two attempts of the crowd to come back, and after which it first comes.
-CROWD_INTERVAL, CROWD_COMES = 0.5, 1.0
-#: Part of them that send half a message, after which they stay and say nothing more.
-HALF_MESSAGES, HALF_MESSAGE = 0.3, b"POST /view HTTP/1.1\r\nHost: us\r\nReq-"
+#: Idle clients for each descriptor of a dispatcher: more than the dispatcher can hold.
+CLIENTS_PER_DESCRIPTOR = 1.5
+#: Each round of connects opens one in so many of these clients.
+REFILL_DIVISOR = 4
+#: Seconds between two rounds of connects, and until the first of them.
+RECONNECT_INTERVAL, FIRST_CONNECT_AFTER = 0.5, 1.0
+#: Share of idle clients that send an incomplete message, and then stay connected without sending more.
+INCOMPLETE_SHARE, INCOMPLETE_MESSAGE = 0.3, b"POST /view HTTP/1.1\r\nHost: us\r\nReq-"
 
 
 class Closable(Protocol):
-    """A connection of the crowd."""
+    """A connection of an idle client."""
 
     def close(self) -> Any: ...
 
 
-class Crowd:
-    """Idle clients that come back when they are thrown out."""
+class IdleClients:
+    """Idle clients that connect again and again, also after a dispatcher has closed their connections."""
 
-    def __init__(self, stage: SoakStage, seed: int) -> None:
-        self.stage = stage
+    def __init__(self, runner: SoakRunner, seed: int) -> None:
+        self.runner = runner
         self.random = Random(f"crowd {seed}")
         self.connections: list[Closable] = []
 
     async def run(self) -> None:
-        """Fill the descriptors again and again, until the traffic ends."""
-        await asyncio.sleep(CROWD_COMES)
-        while not self.stage.ended:
-            for number in range(len(self.stage.dispatchers)):
-                for _ in range(int(DESCRIPTORS * CROWD_PER_DESCRIPTOR) // FILLED_AT_ONCE):
-                    await self.open(number, self.random.random() < HALF_MESSAGES)
-            await asyncio.sleep(CROWD_INTERVAL)
+        """Fill the descriptors of all dispatchers again and again, until the traffic ends."""
+        await asyncio.sleep(FIRST_CONNECT_AFTER)
+        while not self.runner.ended:
+            for number in range(len(self.runner.dispatchers)):
+                for _ in range(int(DESCRIPTOR_LIMIT * CLIENTS_PER_DESCRIPTOR) // REFILL_DIVISOR):
+                    await self.open_connection(number, self.random.random() < INCOMPLETE_SHARE)
+            await asyncio.sleep(RECONNECT_INTERVAL)
             for connection in self.random.sample(self.connections, len(self.connections) // 2):
                 connection.close()
                 self.connections.remove(connection)
 
-    async def open(self, number: int, sends_half: bool) -> None:
-        """Open a connection to a dispatcher, on loopback, without waiting for it."""
+    async def open_connection(self, number: int, sends_incomplete: bool) -> None:
+        """Start to connect to a dispatcher on loopback, without waiting for the connection."""
         connection = socket.socket()
         connection.setblocking(False)
-        host = self.stage.host.address(self.stage.dispatcher_machines[number])
+        host = self.runner.host.address(self.runner.dispatcher_machines[number])
         with suppress(BlockingIOError, OSError):
             connection.connect((host, DISPATCHER_PORT))
-        if sends_half:
+        if sends_incomplete:
             with suppress(OSError):
-                connection.send(HALF_MESSAGE)
+                connection.send(INCOMPLETE_MESSAGE)
         self.connections.append(connection)
 
-    def leave(self) -> None:
+    def close_all(self) -> None:
         """Close every connection."""
         for connection in self.connections:
             connection.close()
         self.connections.clear()
 
 
-class VirtualCrowd(Crowd):
-    """The same by way of the stand-ins' network."""
+class VirtualIdleClients(IdleClients):
+    """Idle clients on the emulated network of virtual time."""
 
-    async def open(self, number: int, sends_half: bool) -> None:
-        """Open a connection to a dispatcher; one that is refused is left out."""
-        self.stage.spawn(self.connect(number, sends_half))
+    async def open_connection(self, number: int, sends_incomplete: bool) -> None:
+        """Start to connect to a dispatcher; a refused connection is left out."""
+        self.runner.spawn(self.connect_and_stay(number, sends_incomplete))
 
-    async def connect(self, number: int, sends_half: bool) -> None:
-        """Connect, and stay."""
-        there = self.stage.dispatcher_machines[number]
-        client = self.stage.clients[there.zone]
+    async def connect_and_stay(self, number: int, sends_incomplete: bool) -> None:
+        """Connect to a dispatcher, and keep the connection open."""
+        dispatcher_machine = self.runner.dispatcher_machines[number]
+        client = self.runner.clients[dispatcher_machine.zone]
         address = client.lines[number].address
         with suppress(OSError):
-            _, writer = await self.stage.host.connect(client.machine, there, address)
-            if sends_half:
-                writer.write(HALF_MESSAGE)
+            _, writer = await self.runner.host.connect(client.machine, dispatcher_machine, address)
+            if sends_incomplete:
+                writer.write(INCOMPLETE_MESSAGE)
             self.connections.append(writer)
--- a/tests/soak/script.py
+++ b/tests/soak/script.py
@@ -1,4 +1,4 @@
-"""What one seed plays: a scenario of the simulation, signals in series, and whether a crowd comes."""
+"""The script of a seed: a scenario of the simulation, series of signals, holds, and kinds of clients."""
 
 from __future__ import annotations
 
@@ -15,62 +15,68 @@
 from locktide.simulation.model.scenario import DISPATCHERS, DurableSpec, FaultSpec, Scenario, ServiceClassSpec
 from locktide.simulation.model.tenants import ClusterSpec, TenantSpec
 
-#: Seconds for which clients send.
-LENGTH = 8.0
-#: Work that is asked for, as a part of what the fleet can do: processes share one machine with the stand-ins.
-LOAD = 0.35
-#: Part of the clients that leave before their time is up.
-IMPATIENT = 0.25
-#: Timeout of the class that may run anywhere, in seconds.
+#: Seconds for which clients send requests.
+TRAFFIC_DURATION = 8.0
+#: Factor on the drawn load, which is a share of the capacity of the fleet: the dispatchers' processes share
+#: one machine with the emulated workers and clients.
+LOAD_SHARE = 0.35
+#: Share of requests whose client leaves before its timeout.
+IMPATIENT_SHARE = 0.25
+#: Timeout of the idempotent service class, in seconds.
 SHORT_TIMEOUT = 1.5
-#: Descriptors of each dispatcher: few, so that a crowd can fill them.
-DESCRIPTORS = 128
-#: One script in so many has a crowd of idle clients.
-CROWD_EVERY = 3
-#: One script in so many has clients that send several messages at once.
-ROUGH_EVERY = 4
-#: Seconds between the first and the last moment at which a series of signals begins.
+#: Descriptors of each dispatcher: few, so that idle clients can fill them.
+DESCRIPTOR_LIMIT = 128
+#: One script in so many has idle clients.
+IDLE_CLIENTS_EVERY = 3
+#: One script in so many has raw clients.
+RAW_CLIENTS_EVERY = 4
+#: First and last moment, in seconds, at which a series of signals begins.
 FIRST_SIGNAL, LAST_SIGNAL = 0.6, 6.0
-#: Faults that only virtual time can play, or that the signals of the script stand for.
-LEFT_OUT = DISPATCHERS | {"trap-dispatcher"}
+#: Faults that only virtual time can run, or that the signals of the script replace.
+EXCLUDED_FAULTS = DISPATCHERS | {"trap-dispatcher"}
 
 
-#: One script in so many holds dispatchers up; which ones, so that other seeds stay as they were.
-HOLDS_EVERY, HOLDS_AT = 5, 3
-#: Most times that a dispatcher is held up, and for how long, in seconds: the page allows 0.15.
-MOST_HOLDS, SHORTEST_HOLD, LONGEST_HOLD = 5, 0.05, 0.5
+#: Scripts hold dispatchers up if their seed has this remainder; the scripts of other seeds stay unchanged.
+HOLDS_MODULUS, HOLDS_REMAINDER = 5, 3
+#: Most holds of a dispatcher, and their duration in seconds: the documented limit is 0.15.
+MAX_HOLDS, SHORTEST_HOLD, LONGEST_HOLD = 5, 0.05, 0.5
 
 
-#: Of each so many scripts, which ones keep jobs on disk, and in which ones dispatchers agree on quotas.
-KINDS_EVERY, DURABLE_AT, QUOTAS_AT = 11, (2, 5), (4, 9)
-#: Seconds until a durable job for which nobody waits is given up.
-DURABLE_LIMIT = 15.0
-#: Fewest dispatchers that agree: an installation has three acceptors at least.
-ACCEPTORS = 3
-#: Seconds after its start between which a dispatcher recovers its jobs: at 0.3 in virtual time, once its
+#: Remainders of the seeds whose scripts have durable jobs, and of those whose dispatchers agree on quotas.
+KIND_MODULUS, DURABLE_REMAINDERS, QUOTA_REMAINDERS = 11, (2, 5), (4, 9)
+#: Seconds after which a durable job, for which nobody waits, fails.
+DURABLE_JOB_TIMEOUT = 15.0
+#: Fewest dispatchers that agree on quotas: an installation has at least three acceptors.
+MIN_ACCEPTORS = 3
+#: Seconds after its start between which a dispatcher recovers its jobs: at 0.3 in virtual time, and once its
 #: interpreter has started on loopback.
 EARLIEST_RECOVERY, LATEST_RECOVERY = 0.3, 0.36
 #: Seconds for which a disk is full.
 SHORTEST_FULL_DISK, LONGEST_FULL_DISK = 0.2, 2.0
-#: Seconds for which clients send in scripts with quotas: long enough to lend, call back and lose a leader.
-QUOTAS_LENGTH = 16.0
-#: Requests a second that each tenant may make, less than the second one mostly asks for, for how many seconds
-#: at once, and the part of it that is lent while a tenant is idle.
-TENANT_RATE, TENANT_BURST, LENDABLE = 3.0, 1.0, 0.6
-#: The same in an installation's file, which refuses quotas whose floors hold no request.
+#: Seconds for which clients send requests in scripts with quotas: long enough to lend, reclaim, and lose a
+#: leader.
+QUOTA_TRAFFIC_DURATION = 16.0
+#: Requests per second in the quota of each tenant, which is mostly less than the demand of the second tenant;
+#: its burst, in seconds of that rate; and the share of its unused quota that a tenant lends.
+TENANT_RATE, TENANT_BURST, LENDABLE_SHARE = 3.0, 1.0, 0.6
+#: The rate in an installation's file, which rejects quotas whose guaranteed minimum is less than one request.
 INSTALLATION_RATE = 200.0
-#: Seconds in which the first tenant asks for nothing, so that its quota is lent and called back.
+#: First and last second in which the first tenant makes no requests, so that its quota is lent and reclaimed.
 IDLE_FROM, IDLE_UNTIL = 1.0, 9.0
-#: Parts of the traffic of the two tenants.
-SHARE_OF_LENDER, SHARE_OF_BORROWER = 1.0, 3.0
-#: What happens to datagrams between dispatchers, for how many seconds, and to how many of them.
-DATAGRAM_FAULTS, DATAGRAM_FAULT_LENGTH, DATAGRAM_SHARE = ("talk-lossy", "talk-late", "talk-doubled"), 2.0, 0.2
-#: Seconds for which the datagrams of one dispatcher are cut off: longer than its leases.
-TALK_CUT_LENGTH = 5.0
+#: Relative traffic of the two tenants.
+LENDER_TRAFFIC_SHARE, BORROWER_TRAFFIC_SHARE = 1.0, 3.0
+#: Faults of datagrams between dispatchers, their duration in seconds, and the share of datagrams affected.
+DATAGRAM_FAULTS, DATAGRAM_FAULT_DURATION, DATAGRAM_FAULT_SHARE = (
+    ("talk-lossy", "talk-late", "talk-doubled"),
+    2.0,
+    0.2,
+)
+#: Seconds for which one dispatcher exchanges no datagrams: longer than its leases.
+CUT_OFF_DURATION = 5.0
 
 
-class Series(StrEnum):
-    """A series of signals to one dispatcher."""
+class SeriesKind(StrEnum):
+    """Kinds of series of signals to one dispatcher."""
 
     TERM = "term"
     TERM_TWICE = "term twice"
@@ -83,128 +89,131 @@
     TERM_IN_RECOVERY = "term in recovery"
 
 
-#: Series of the scripts with durable jobs alone.
-RECOVERY_SERIES = (Series.KILL_IN_RECOVERY, Series.TERM_IN_RECOVERY)
-#: Series of every script.
-PLAIN_SERIES = tuple(series for series in Series if series not in RECOVERY_SERIES)
+#: Series that only scripts with durable jobs have.
+RECOVERY_SERIES = (SeriesKind.KILL_IN_RECOVERY, SeriesKind.TERM_IN_RECOVERY)
+#: Series that every script may have.
+PLAIN_SERIES = tuple(kind for kind in SeriesKind if kind not in RECOVERY_SERIES)
 
 
 @dataclass(frozen=True)
 class SignalSeries:
-    """One series.
+    """One series of signals to a dispatcher.
 
     Attributes:
-        at: when it begins, in seconds.
-        dispatcher: its number.
-        series: which one.
+        begins_at: when it begins, in seconds.
+        dispatcher: the number of the dispatcher.
+        kind: which signals are sent.
     """
 
-    at: float
+    begins_at: float
     dispatcher: int
-    series: Series
+    kind: SeriesKind
 
 
 @dataclass(frozen=True)
-class HoldUp:
+class Hold:
     """A time in which a dispatcher gets no processor.
 
     Attributes:
-        at: when it begins, in seconds.
-        dispatcher: its number.
-        length: how long it lasts, in seconds.
+        begins_at: when it begins, in seconds.
+        dispatcher: the number of the dispatcher.
+        duration: how long it lasts, in seconds.
     """
 
-    at: float
+    begins_at: float
     dispatcher: int
-    length: float
+    duration: float
 
 
 @dataclass(frozen=True)
 class FullDisk:
-    """A time in which the disk of a dispatcher takes nothing more; in virtual time alone.
+    """A time in which the disk of a dispatcher is full; only in virtual time.
 
     Attributes:
-        at: when it begins, in seconds.
-        dispatcher: its number.
-        length: how long it lasts, in seconds.
+        begins_at: when it begins, in seconds.
+        dispatcher: the number of the dispatcher.
+        duration: how long it lasts, in seconds.
     """
 
-    at: float
+    begins_at: float
     dispatcher: int
-    length: float
+    duration: float
 
 
 @dataclass(frozen=True)
 class SoakScript:
-    """One run.
+    """The script of one run.
 
     Attributes:
         seed: the seed.
         scenario: fleet, traffic and faults.
-        signals: series of signals, in order of their time.
-        has_crowd: whether idle clients fill the descriptors of all dispatchers, also during a shutdown.
-        has_rough_clients: whether clients send several messages at once, or half of one.
+        signal_series: series of signals, in order of their time.
+        has_idle_clients: whether idle clients fill the descriptors of all dispatchers, also in a shutdown.
+        has_raw_clients: whether raw clients send several messages at once, or an incomplete one.
         holds: when dispatchers are held up.
         full_disks: when disks are full.
-        recovery_after: seconds from a start to a signal that is to meet the recovery of durable jobs.
+        recovery_signal_delay: seconds from a start to a signal that must arrive during the recovery of
+            durable jobs.
     """
 
     seed: int
     scenario: Scenario
-    signals: list[SignalSeries]
-    has_crowd: bool
-    has_rough_clients: bool
-    holds: list[HoldUp]
+    signal_series: list[SignalSeries]
+    has_idle_clients: bool
+    has_raw_clients: bool
+    holds: list[Hold]
     full_disks: list[FullDisk]
-    recovery_after: float
+    recovery_signal_delay: float
 
 
-def draw(seed: int, always_holds: bool = False) -> SoakScript:
-    """Return the script of a seed, the same on every machine; with holds in any case where that is asked."""
+def draw_script(seed: int, always_holds: bool = False) -> SoakScript:
+    """Return the script of a seed, the same on every machine; `always_holds` adds holds to every script."""
     random = Random(f"soak {seed}")
-    scenario = _with_kind(seed, _scenario(seed))
-    has_holds = always_holds or seed % HOLDS_EVERY == HOLDS_AT
-    signals = list(_signals(random, scenario.fleet.dispatchers))
+    scenario = _with_durable_jobs_or_quotas(seed, _draw_scenario(seed))
+    has_holds = always_holds or seed % HOLDS_MODULUS == HOLDS_REMAINDER
+    signal_series = list(_draw_signals(random, scenario.fleet.dispatchers))
     if scenario.durable.on:
-        signals += _recovery_signals(seed, scenario.fleet.dispatchers)
+        signal_series += _draw_recovery_signals(seed, scenario.fleet.dispatchers)
     return SoakScript(
         seed=seed,
         scenario=scenario,
-        signals=sorted(signals, key=lambda each: each.at),
-        has_crowd=seed % CROWD_EVERY == 0,
-        has_rough_clients=seed % ROUGH_EVERY == 0,
-        holds=list(_holds(seed, scenario.fleet.dispatchers)) if has_holds else [],
-        full_disks=list(_full_disks(seed, scenario)),
-        recovery_after=Random(f"soak recovery {seed}").uniform(EARLIEST_RECOVERY, LATEST_RECOVERY),
+        signal_series=sorted(signal_series, key=lambda series: series.begins_at),
+        has_idle_clients=seed % IDLE_CLIENTS_EVERY == 0,
+        has_raw_clients=seed % RAW_CLIENTS_EVERY == 0,
+        holds=list(_draw_holds(seed, scenario.fleet.dispatchers)) if has_holds else [],
+        full_disks=list(_draw_full_disks(seed, scenario)),
+        recovery_signal_delay=Random(f"soak recovery {seed}").uniform(EARLIEST_RECOVERY, LATEST_RECOVERY),
     )
 
 
-def _scenario(seed: int) -> Scenario:
+def _draw_scenario(seed: int) -> Scenario:
     drawn = random_scenario.draw(seed)
     replace = msgspec.structs.replace
     random = Random(f"soak faults {seed}")
     drain = FaultSpec(
         at=random.uniform(1.0, LAST_SIGNAL), length=random.uniform(1.0, 4.0), what="drain", whom="40%"
     )
-    faults = [fault for fault in drawn.incident if fault.what not in LEFT_OUT and fault.at < LENGTH]
-    # A dispatcher that nobody else stands beside would leave clients without any while it restarts.
+    faults = [
+        fault for fault in drawn.incident if fault.what not in EXCLUDED_FAULTS and fault.at < TRAFFIC_DURATION
+    ]
+    # With a single dispatcher, clients would have none while it restarts.
     fleet = replace(drawn.fleet, dispatchers=max(2, drawn.fleet.dispatchers))
     return replace(
         drawn,
         name="soak",
-        length=LENGTH,
+        length=TRAFFIC_DURATION,
         fleet=fleet,
-        grade=[_with_short_timeout(grade) for grade in drawn.grade],
-        clients=replace(drawn.clients, load=LOAD * drawn.clients.load, impatient=IMPATIENT),
-        dispatcher=replace(drawn.dispatcher, sockets=DESCRIPTORS),
+        grade=[_with_short_timeout(service_class) for service_class in drawn.grade],
+        clients=replace(drawn.clients, load=LOAD_SHARE * drawn.clients.load, impatient=IMPATIENT_SHARE),
+        dispatcher=replace(drawn.dispatcher, sockets=DESCRIPTOR_LIMIT),
         incident=[*faults, drain],
     )
 
 
-def _with_kind(seed: int, scenario: Scenario) -> Scenario:
-    """Return the scenario with durable jobs, or with quotas on which dispatchers agree, by its seed."""
-    kind = seed % KINDS_EVERY
-    if kind not in DURABLE_AT + QUOTAS_AT:
+def _with_durable_jobs_or_quotas(seed: int, scenario: Scenario) -> Scenario:
+    """Return the scenario with durable jobs, with quotas on which dispatchers agree, or as it is, by seed."""
+    kind = seed % KIND_MODULUS
+    if kind not in DURABLE_REMAINDERS + QUOTA_REMAINDERS:
         return scenario
     replace = msgspec.structs.replace
     scenario = replace(
@@ -212,95 +221,98 @@
         dispatcher=replace(scenario.dispatcher, settings={}),
         roster=replace(scenario.roster, call=0.0),
     )
-    if kind in DURABLE_AT:
-        return replace(scenario, durable=DurableSpec(on=True, limit=DURABLE_LIMIT))
+    if kind in DURABLE_REMAINDERS:
+        return replace(scenario, durable=DurableSpec(on=True, limit=DURABLE_JOB_TIMEOUT))
     return _with_quotas(seed, scenario)
 
 
 def _with_quotas(seed: int, scenario: Scenario) -> Scenario:
-    """Return the scenario with two tenants, of which one is idle for a while, and faults of datagrams."""
+    """Return the scenario with two tenants, one of them idle for a time, and with faults of datagrams."""
     random = Random(f"soak quotas {seed}")
     replace = msgspec.structs.replace
     idle = [[IDLE_FROM, IDLE_UNTIL]]
     faults = [
         FaultSpec(
             at=random.uniform(0.5, LAST_SIGNAL),
-            length=DATAGRAM_FAULT_LENGTH,
+            length=DATAGRAM_FAULT_DURATION,
             what=what,  # type: ignore[arg-type]
             whom="all",
-            share=DATAGRAM_SHARE,
+            share=DATAGRAM_FAULT_SHARE,
         )
         for what in DATAGRAM_FAULTS
     ]
     cut_at = random.uniform(FIRST_SIGNAL, IDLE_UNTIL)
-    cut_off = f"d{random.randrange(scenario.fleet.dispatchers)}"
-    faults.append(FaultSpec(at=cut_at, length=TALK_CUT_LENGTH, what="talk-cut", whom=cut_off))
-    dispatchers = max(ACCEPTORS, scenario.fleet.dispatchers)
+    cut_off_dispatcher = f"d{random.randrange(scenario.fleet.dispatchers)}"
+    faults.append(FaultSpec(at=cut_at, length=CUT_OFF_DURATION, what="talk-cut", whom=cut_off_dispatcher))
+    dispatchers = max(MIN_ACCEPTORS, scenario.fleet.dispatchers)
     return replace(
         scenario,
-        length=QUOTAS_LENGTH,
+        length=QUOTA_TRAFFIC_DURATION,
         fleet=replace(scenario.fleet, dispatchers=dispatchers),
         tenant=[
-            TenantSpec(name="dairy", rate=TENANT_RATE, share=SHARE_OF_LENDER, idle=idle),
-            TenantSpec(name="goats", rate=TENANT_RATE, share=SHARE_OF_BORROWER, skew=0.5),
+            TenantSpec(name="dairy", rate=TENANT_RATE, share=LENDER_TRAFFIC_SHARE, idle=idle),
+            TenantSpec(name="goats", rate=TENANT_RATE, share=BORROWER_TRAFFIC_SHARE, skew=0.5),
         ],
         accord=ClusterSpec(
             on=True,
-            lend=LENDABLE,
+            lend=LENDABLE_SHARE,
             burst=TENANT_BURST,
             resource=[ResourceSection(name="slots", worker_capacity=3.0)],
         ),
-        grade=[replace(grade, holds={"slots": 1.0}) for grade in scenario.grade],
+        grade=[replace(service_class, holds={"slots": 1.0}) for service_class in scenario.grade],
         incident=[*scenario.incident, *faults],
     )
 
 
 def with_installation_rates(script: SoakScript) -> SoakScript:
-    """Return the script with quotas that an installation's file may have: none of its tenants borrows."""
-    tenants = [msgspec.structs.replace(each, rate=INSTALLATION_RATE) for each in script.scenario.tenant]
+    """Return the script with rates that an installation's file may have; with them no tenant borrows."""
+    tenants = [msgspec.structs.replace(tenant, rate=INSTALLATION_RATE) for tenant in script.scenario.tenant]
     return dataclasses.replace(script, scenario=msgspec.structs.replace(script.scenario, tenant=tenants))
 
 
-def _with_short_timeout(grade: ServiceClassSpec) -> ServiceClassSpec:
-    """Give the class that may run anywhere a timeout that ends before a kill, whenever it comes."""
-    if grade.effect != "reissuable":
-        return grade
-    return msgspec.structs.replace(grade, limit=SHORT_TIMEOUT)
+def _with_short_timeout(service_class: ServiceClassSpec) -> ServiceClassSpec:
+    """Give the idempotent service class a timeout that ends before a kill, whenever the request comes."""
+    if service_class.effect != "reissuable":
+        return service_class
+    return msgspec.structs.replace(service_class, limit=SHORT_TIMEOUT)
 
 
-def _signals(random: Random, dispatchers: int) -> Iterator[SignalSeries]:
-    """Draw one or two series for each dispatcher, far enough apart for a restart between them."""
+def _draw_signals(random: Random, dispatchers: int) -> Iterator[SignalSeries]:
+    """Draw one or two series for each dispatcher, far enough apart for a restart between them.
+
+    In half of the scripts, two dispatchers are also shut down at nearly the same time.
+    """
     for number in range(dispatchers):
         first = random.uniform(FIRST_SIGNAL, LAST_SIGNAL)
         yield SignalSeries(first, number, random.choice(PLAIN_SERIES))
         if random.random() < 0.5:
-            yield SignalSeries(random.uniform(0.1, 0.4), number, Series.RELOAD)
-    if dispatchers > 1 and random.random() < 0.5:  # two that end within 0.3 s of each other
+            yield SignalSeries(random.uniform(0.1, 0.4), number, SeriesKind.RELOAD)
+    if dispatchers > 1 and random.random() < 0.5:  # two shutdowns that begin within 0.3 s
         at = random.uniform(FIRST_SIGNAL, LAST_SIGNAL)
-        yield SignalSeries(at, 0, Series.TERM)
-        yield SignalSeries(at + random.uniform(0.0, 0.3), 1, Series.TERM)
+        yield SignalSeries(at, 0, SeriesKind.TERM)
+        yield SignalSeries(at + random.uniform(0.0, 0.3), 1, SeriesKind.TERM)
 
 
-def _recovery_signals(seed: int, dispatchers: int) -> Iterator[SignalSeries]:
-    """Draw a series that meets each dispatcher while it recovers its jobs."""
+def _draw_recovery_signals(seed: int, dispatchers: int) -> Iterator[SignalSeries]:
+    """Draw for each dispatcher a series that signals it while it recovers its jobs."""
     random = Random(f"soak recovery {seed}")
     for number in range(dispatchers):
         yield SignalSeries(random.uniform(FIRST_SIGNAL, LAST_SIGNAL), number, random.choice(RECOVERY_SERIES))
 
 
-def _full_disks(seed: int, scenario: Scenario) -> Iterator[FullDisk]:
-    """Draw for one dispatcher in two when its disk is full, where jobs are durable."""
+def _draw_full_disks(seed: int, scenario: Scenario) -> Iterator[FullDisk]:
+    """Draw when the disk of a dispatcher is full, for about one dispatcher in two, if jobs are durable."""
     random = Random(f"soak disks {seed}")
     for number in range(scenario.fleet.dispatchers if scenario.durable.on else 0):
         if random.random() < 0.5:
-            length = random.uniform(SHORTEST_FULL_DISK, LONGEST_FULL_DISK)
-            yield FullDisk(random.uniform(0.0, LAST_SIGNAL), number, length)
+            duration = random.uniform(SHORTEST_FULL_DISK, LONGEST_FULL_DISK)
+            yield FullDisk(random.uniform(0.0, LAST_SIGNAL), number, duration)
 
 
-def _holds(seed: int, dispatchers: int) -> Iterator[HoldUp]:
-    """Draw when dispatchers are held up, by a generator of their own."""
+def _draw_holds(seed: int, dispatchers: int) -> Iterator[Hold]:
+    """Draw when dispatchers are held up, with a random generator of its own."""
     random = Random(f"soak holds {seed}")
     for number in range(dispatchers):
-        for _ in range(random.randint(1, MOST_HOLDS)):
-            length = random.uniform(SHORTEST_HOLD, LONGEST_HOLD)
-            yield HoldUp(random.uniform(0.0, LENGTH), number, length)
+        for _ in range(random.randint(1, MAX_HOLDS)):
+            duration = random.uniform(SHORTEST_HOLD, LONGEST_HOLD)
+            yield Hold(random.uniform(0.0, TRAFFIC_DURATION), number, duration)
--- a/tests/soak/signals.py
+++ b/tests/soak/signals.py
@@ -1,4 +1,4 @@
-"""What the soak keeps of the signals that it has sent."""
+"""Records of the signals that the soak has sent."""
 
 from __future__ import annotations
 
@@ -7,16 +7,27 @@
 
 @dataclass(frozen=True)
 class Reload:
-    """A SIGHUP: to which process of a dispatcher, and when."""
+    """A SIGHUP that was sent.
+
+    Attributes:
+        dispatcher: the number of the dispatcher.
+        life: which of its processes, counted from its first start.
+        sent_at: when it was sent, in microseconds.
+    """
 
     dispatcher: int
     life: int
-    at: int
+    sent_at: int
 
 
 @dataclass
-class Ending:
-    """A dispatcher that was sent SIGTERM: when, and whether it is over."""
+class Shutdown:
+    """The shutdown of a dispatcher.
+
+    Attributes:
+        began_at: when SIGTERM was sent, in microseconds.
+        is_over: whether the process has ended, or the moment of its kill has come.
+    """
 
     began_at: int
     is_over: bool = False
--- a/tests/soak/stage.py
+++ b/tests/soak/stage.py
@@ -1,4 +1,4 @@
-"""The stand-ins of a soak: the simulation's, with signals in series and clients that stay until the kill."""
+"""The runner of a soak: that of the simulation, with signals in series and clients that stay until a kill."""
 
 from __future__ import annotations
 
@@ -20,206 +20,226 @@
 from locktide.simulation.model.traffic import RequestTry
 from locktide.simulation.scenario_runner import TAKEN_OUT_AFTER, ScenarioRunner
 from soak.findings import Findings
-from soak.held_up import HeldUp
-from soak.script import RECOVERY_SERIES, HoldUp, Series, SignalSeries, SoakScript
-from soak.signals import Ending, Reload
+from soak.held_up import HoldTracker
+from soak.script import RECOVERY_SERIES, Hold, SeriesKind, SignalSeries, SoakScript
+from soak.signals import Reload, Shutdown
 
-#: A kill comes no sooner after SIGTERM than the smaller of this and the longest timeout, in seconds ...
+#: Seconds after SIGTERM before which a dispatcher is not killed; the longest timeout of a class if that is
+#: shorter.
 SHUTDOWN_TIMEOUT = 3.0
-#: ... and this many seconds more: the soak kills at that very moment.
+#: Seconds added to that time. The soak kills at this earliest permitted moment.
 SHUTDOWN_EXTRA = 0.7
-#: What comes later than this after SIGTERM has to have its response before the kill, in seconds ...
+#: A request sent more than this many seconds after SIGTERM must have its response before the kill,
 LATE_REQUESTS_AFTER = 0.5
-#: ... unless it comes within this of it: the way, and what a client needs to read.
-LAST_MOMENT = 0.3
-#: Seconds more than are left to the client that an attempt may tell its worker, by the page.
-TOLD_TOO_MUCH = 0.15
-#: Seconds between two looks at a process that is ending, and between a kill and the next start.
-LOOK_INTERVAL = 0.02
+#: unless it was sent within this many seconds of the kill: the time to travel, and for a client to read.
+FINAL_INTERVAL = 0.3
+#: Seconds by which the timeout sent to a worker may exceed the time left to the client, as documented.
+EXCESS_TIMEOUT_ALLOWANCE = 0.15
+#: Seconds between two checks whether a process has ended, and between its end and the next start.
+POLL_INTERVAL = 0.02
 RESTART_PAUSE = 0.1
-#: Reloads in a row, and seconds between them.
-RELOADS = 4
+#: Reloads in a series of repeated reloads, and seconds between them.
+RELOADS_PER_SERIES = 4
 RELOAD_INTERVAL = 0.01
-#: Rules of the checker that go by a moment: a process that is held up long enough breaks them.
-TIMED_RULES = frozenset({"lost", "late", "after", "copies", "drain", "pushed"})
-#: What a client says of a request whose connection was closed unread, with nobody there to take it anew.
-ENDED_AND_NOBODY_THERE = "ended while it was handed in, and none is there"
-#: Seconds within which a process that runs acts on SIGHUP.
-RELOAD_NOTICED_WITHIN = 2.0
-#: Seconds after its start in which a process may not have read its settings yet.
-START_TIME = 3.0
-#: Seconds of quiet in which ledgers become equal, and between two looks at them.
-LEDGERS_EQUAL_WITHIN, LEDGER_LOOK_INTERVAL = 2.0, 0.25
-#: Seconds of quiet after a run, in which what is left must settle.
-QUIET = 2.0
-
-
-class SoakTimeline(FaultInjector):
-    """The faults of the scenario, and the signals of the soak beside them."""
-
-    def __init__(self, stage: SoakStage) -> None:
-        super().__init__(stage)
-        self.soak_stage = stage
+#: Rules of the checker that depend on when something happens: a process that is held up for long enough
+#: breaks them.
+TIMING_DEPENDENT_RULES = frozenset({"lost", "late", "after", "copies", "drain", "pushed"})
+#: Error of a client whose connection was closed before its request was read, and that could open no new one.
+CLOSED_WITHOUT_SUCCESSOR = "ended while it was handed in, and none is there"
+#: Seconds within which a running process must handle SIGHUP.
+RELOAD_LOG_TIMEOUT = 2.0
+#: Seconds after its start in which a process may not yet have read its settings.
+STARTUP_ALLOWANCE = 3.0
+#: Seconds without traffic within which ledgers must become equal, and between two comparisons of them.
+LEDGER_CONVERGENCE_TIMEOUT, LEDGER_POLL_INTERVAL = 2.0, 0.25
+#: Seconds without traffic after a run, in which what is still open must end.
+QUIET_TIME = 2.0
+
+
+class SoakFaultInjector(FaultInjector):
+    """Injects the faults of the scenario, and the signals and holds of the soak."""
+
+    def __init__(self, runner: SoakRunner) -> None:
+        super().__init__(runner)
+        self.soak_runner = runner
 
     def set(self) -> None:
-        """Set all timers, once the traffic begins."""
+        """Set all timers when the traffic begins."""
         super().set()
-        self.soak_stage.set_signals()
+        self.soak_runner.schedule_signals()
 
 
-class SoakStage(ScenarioRunner):
-    """Plays the script; what it sees goes to `findings`."""
+class SoakRunner(ScenarioRunner):
+    """Runs the script and adds violations and counts to `findings`."""
 
-    def __init__(self, script: SoakScript, host: Any, findings: Findings) -> None:
-        super().__init__(script.scenario, host)
-        self.soak = script
-        self.soak_host = host
+    def __init__(self, script: SoakScript, backend: Any, findings: Findings) -> None:
+        super().__init__(script.scenario, backend)
+        self.soak_script = script
+        self.soak_backend = backend
         self.findings = findings
-        self.endings: dict[int, Ending] = {}
-        self.timeline = SoakTimeline(self)
+        self.shutdowns: dict[int, Shutdown] = {}
+        self.timeline = SoakFaultInjector(self)
         self.start_files: dict[int, dict[str, Any]] = {}
         self.reloads: list[Reload] = []
-        self.told_too_much: dict[str, str] = {}  # by request
-        self.lost_at: list[int] = []  # when connections ended under requests that had reached no worker
-        self.started_at: dict[tuple[int, int], int] = {}  # by dispatcher and life
-        self.killed_at: dict[tuple[int, int], int] = {}  # the same
-        self.held_up = HeldUp()
-        self.on_begin: list[Callable[[], None]] = []  # called once the traffic begins
-        self.recovery_after = script.recovery_after
-        self.generation = 0  # of the settings, changed with each reload
+        self.excessive_timeouts: dict[str, str] = {}  # by request
+        self.undispatched_loss_times: list[int] = []  # when requests that reached no worker were lost
+        self.started_at: dict[tuple[int, int], int] = {}  # by dispatcher and the number of its process
+        self.killed_at: dict[tuple[int, int], int] = {}  # by the same key
+        self.hold_tracker = HoldTracker()
+        self.on_traffic_start: list[Callable[[], None]] = []  # called when the traffic begins
+        self.recovery_signal_delay = script.recovery_signal_delay
+        self.settings_version = 0  # incremented by each reload
         for site in self.workers:
-            site.dispatched = partial(self.check_time_told, site.dispatched)  # type: ignore[method-assign]
+            site.dispatched = partial(self.check_timeout_sent, site.dispatched)  # type: ignore[method-assign]
         self.sent_at: dict[str, int] = {}
         for client in self.clients:
-            client.question = partial(self.note_sent, client.question)  # type: ignore[method-assign]
-            client.ask = partial(self.ask, client.ask)  # type: ignore[method-assign]
-            choose = partial(self.choose, client, client.front.choose)
-            client.front.choose = choose  # type: ignore[method-assign]
+            client.question = partial(self.record_sent, client.question)  # type: ignore[method-assign]
+            client.ask = partial(self.send_submission, client.ask)  # type: ignore[method-assign]
+            choose_dispatcher = partial(self.choose_dispatcher, client, client.front.choose)
+            client.front.choose = choose_dispatcher  # type: ignore[method-assign]
 
-    # --- clients of a dispatcher that ends
+    # --- clients of a dispatcher in shutdown
 
-    def choose(self, client: ClientSite, choose: Any, now: int, home: float) -> int | None:
-        """Go on with each connection that stays open to a dispatcher that ends; open no new ones there."""
+    def choose_dispatcher(
+        self, client: ClientSite, original_choose: Any, now: int, home: float
+    ) -> int | None:
+        """Return a dispatcher in shutdown to which an idle connection is open, or else the default choice.
+
+        Clients therefore use every connection that stays open during a shutdown, and open no new ones there.
+        """
         for number, dispatcher in enumerate(self.dispatchers):
-            if dispatcher.alive and dispatcher.stopping and any(x.fresh for x in client.lines[number].idle):
+            if (
+                dispatcher.alive
+                and dispatcher.stopping
+                and any(connection.fresh for connection in client.lines[number].idle)
+            ):
                 return number
-        chosen: int | None = choose(now, home)
+        chosen: int | None = original_choose(now, home)
         return chosen
 
-    async def ask(self, ask: Any, tried: RequestTry) -> UpstreamResponse:
-        """Ask as ever; what crossed the end of its connection goes elsewhere once nobody is there."""
+    async def send_submission(self, original_ask: Any, submission: RequestTry) -> UpstreamResponse:
+        """Send a submission; report it as unsent if it reached no process because of a shutdown.
+
+        That is so if its connection was closed before it was read, no new one could be opened, and the
+        dispatcher has been sent SIGTERM. The client then sends the request to another dispatcher. Without the
+        SIGTERM the error stays a ProtocolError.
+        """
         try:
-            response: UpstreamResponse = await ask(tried)
+            response: UpstreamResponse = await original_ask(submission)
         except ProtocolError as error:
-            ending = self.endings.get(tried.dispatcher)
-            if ending is not None and str(error) == ENDED_AND_NOBODY_THERE:
-                raise OSError("crossed the end of its dispatcher") from error
+            shutdown = self.shutdowns.get(submission.dispatcher)
+            if shutdown is not None and str(error) == CLOSED_WITHOUT_SUCCESSOR:
+                raise OSError("the dispatcher shut down before it read the request") from error
             raise
         return response
 
     # --- signals
 
-    def set_signals(self) -> None:
-        """Set a timer for each series; all dispatchers are up by now."""
+    def schedule_signals(self) -> None:
+        """Set a timer for each series and each hold; all dispatchers have started by then."""
         for number, dispatcher in enumerate(self.dispatchers):
-            self.started_at[number, dispatcher.life] = -round(START_TIME * 1e6)
-        for series in self.soak.signals:
-            self.host.call_at(round(series.at * 1e6), self.begin_series, series)
-        for begin in self.on_begin:
-            begin()
-        for hold in self.soak.holds:
-            self.host.call_at(round(hold.at * 1e6), self.hold_up, hold)
-
-    def hold_up(self, hold: HoldUp) -> None:
+            self.started_at[number, dispatcher.life] = -round(STARTUP_ALLOWANCE * 1e6)
+        for series in self.soak_script.signal_series:
+            self.host.call_at(round(series.begins_at * 1e6), self.start_series, series)
+        for callback in self.on_traffic_start:
+            callback()
+        for hold in self.soak_script.holds:
+            self.host.call_at(round(hold.begins_at * 1e6), self.hold_up, hold)
+
+    def hold_up(self, hold: Hold) -> None:
         number, now = hold.dispatcher, self.host.now()
-        if self.host.dispatcher_runs(number) and not self.held_up.is_held(number, now):
-            self.held_up.begin(number, now, hold.length)
-            self.soak_host.hold_up_dispatcher(hold.dispatcher, hold.length)
+        if self.host.dispatcher_runs(number) and not self.hold_tracker.is_held_up(number, now):
+            self.hold_tracker.record_hold(number, now, hold.duration)
+            self.soak_backend.hold_up_dispatcher(hold.dispatcher, hold.duration)
             self.findings.holds += 1
 
-    def begin_series(self, series: SignalSeries) -> None:
-        self.findings.signals += 1
-        self.spawn(self.play_series(series))
+    def start_series(self, series: SignalSeries) -> None:
+        self.findings.signal_series += 1
+        self.spawn(self.run_series(series))
 
-    async def play_series(self, series: SignalSeries) -> None:
+    async def run_series(self, series: SignalSeries) -> None:
         number = series.dispatcher
         dispatcher = self.dispatchers[number]
         if not dispatcher.alive or dispatcher.stopping:
-            return  # an earlier series has it
-        if series.series in RECOVERY_SERIES:
+            return  # an earlier series is shutting it down
+        if series.kind in RECOVERY_SERIES:
             await self.kill_and_recover(number)
-        match series.series:
-            case Series.TERM | Series.TERM_IN_RECOVERY:
-                await self.end(number)
-            case Series.TERM_TWICE:
-                await self.end(number, again_after=0.2)
-            case Series.RELOAD:
-                self.reload(number)
-            case Series.RELOADS_IN_A_ROW:
-                await self.reload_in_a_row(number)
-            case Series.RELOAD_AFTER_TERM:
-                await self.end(number, reload_after=0.1)
-            case Series.KILL_AND_START | Series.KILL_IN_RECOVERY:
+        match series.kind:
+            case SeriesKind.TERM | SeriesKind.TERM_IN_RECOVERY:
+                await self.shut_down(number)
+            case SeriesKind.TERM_TWICE:
+                await self.shut_down(number, repeat_after=0.2)
+            case SeriesKind.RELOAD:
+                self.send_reload(number)
+            case SeriesKind.RELOADS_IN_A_ROW:
+                await self.send_repeated_reloads(number)
+            case SeriesKind.RELOAD_AFTER_TERM:
+                await self.shut_down(number, reload_after=0.1)
+            case SeriesKind.KILL_AND_START | SeriesKind.KILL_IN_RECOVERY:
                 self.kill_dispatcher(number)
                 self.start_dispatcher(number)
-            case Series.START_UNDER_RELOADS:
+            case SeriesKind.START_UNDER_RELOADS:
                 self.kill_dispatcher(number)
                 self.start_dispatcher(number)
-                await self.reload_in_a_row(number)
+                await self.send_repeated_reloads(number)
 
     async def kill_and_recover(self, number: int) -> None:
-        """Kill a dispatcher, and let it start up to a moment in which it recovers its jobs."""
+        """Kill and start a dispatcher, and return at a moment at which it recovers its jobs."""
         self.kill_dispatcher(number)
         self.start_dispatcher(number)
-        await asyncio.sleep(self.recovery_after)
+        await asyncio.sleep(self.recovery_signal_delay)
 
     def start_file(self, number: int) -> dict[str, Any]:
-        """Return what a dispatcher is told at its start; reloads change its settings alone."""
+        """Return the start file of a dispatcher, and keep it: reloads change only its settings."""
         self.start_files[number] = super().start_file(number)
         return self.start_files[number]
 
-    def told(self, number: int) -> dict[str, Any]:
+    def start_file_for_reload(self, number: int) -> dict[str, Any]:
         """Return the start file of a dispatcher with settings that no earlier reload had.
 
-        Its list stays that of the start: a dispatcher does not take one at a reload, and one that was asked
-        for anew would count as notified of.
+        Its endpoint list stays that of the start: a dispatcher ignores the list at a reload, and the entries
+        of a list that was fetched again would count as notified.
         """
-        self.generation += 1
-        told = deepcopy(self.start_files[number])
-        told["settings"]["Rules"]["AskWithin"] = 10_000 + self.generation
-        return told
+        self.settings_version += 1
+        start_file = deepcopy(self.start_files[number])
+        start_file["settings"]["Rules"]["AskWithin"] = 10_000 + self.settings_version
+        return start_file
 
-    def reload(self, number: int) -> None:
+    def send_reload(self, number: int) -> None:
         if self.host.dispatcher_runs(number):
             reload = Reload(number, self.dispatchers[number].life, self.host.now())
-            if self.soak_host.reload_dispatcher(number, self.told(number)):
+            if self.soak_backend.reload_dispatcher(number, self.start_file_for_reload(number)):
                 self.reloads.append(reload)
 
-    async def reload_in_a_row(self, number: int) -> None:
-        for _ in range(RELOADS):
-            self.reload(number)
+    async def send_repeated_reloads(self, number: int) -> None:
+        for _ in range(RELOADS_PER_SERIES):
+            self.send_reload(number)
             await asyncio.sleep(RELOAD_INTERVAL)
 
-    async def end(
-        self, number: int, again_after: float | None = None, reload_after: float | None = None
+    async def shut_down(
+        self, number: int, repeat_after: float | None = None, reload_after: float | None = None
     ) -> None:
-        """Send SIGTERM, kill at the earliest moment that the page allows, and start anew."""
+        """Send SIGTERM, kill at the earliest moment that is documented for a kill, and start again."""
         dispatcher = self.dispatchers[number]
         dispatcher.stopping = True
-        ending = self.endings[number] = Ending(self.host.now())
+        shutdown = self.shutdowns[number] = Shutdown(self.host.now())
         self.host.stop_dispatcher(number)
         self.host.call_at(self.host.now() + TAKEN_OUT_AFTER, self.taken_out, number)
-        if again_after is not None:
-            self.host.call_at(self.host.now() + round(again_after * 1e6), self.stop_again, number, ending)
+        if repeat_after is not None:
+            self.host.call_at(
+                self.host.now() + round(repeat_after * 1e6), self.repeat_sigterm, number, shutdown
+            )
         if reload_after is not None:
-            self.host.call_at(self.host.now() + round(reload_after * 1e6), self.reload_ending, number, ending)
-        longest = max(grade.limit for grade in self.script.grade)
-        kill_at = ending.began_at + round((min(SHUTDOWN_TIMEOUT, longest) + SHUTDOWN_EXTRA) * 1e6)
+            self.host.call_at(
+                self.host.now() + round(reload_after * 1e6), self.reload_during_shutdown, number, shutdown
+            )
+        longest_timeout = max(grade.limit for grade in self.script.grade)
+        kill_at = shutdown.began_at + round((min(SHUTDOWN_TIMEOUT, longest_timeout) + SHUTDOWN_EXTRA) * 1e6)
         while self.host.dispatcher_runs(number) and self.host.now() < kill_at:
-            await asyncio.sleep(LOOK_INTERVAL)
-        ending.is_over = True
+            await asyncio.sleep(POLL_INTERVAL)
+        shutdown.is_over = True
         if self.host.dispatcher_runs(number):
-            self.check_open_at_kill(number, ending)
+            self.check_open_at_kill(number, shutdown)
             self.kill_dispatcher(number)
         elif dispatcher.alive:
             dispatcher.alive = False
@@ -227,71 +247,97 @@
         await asyncio.sleep(RESTART_PAUSE)
         self.start_dispatcher(number)
 
-    def stop_again(self, number: int, ending: Ending) -> None:
-        if not ending.is_over and self.host.dispatcher_runs(number):
+    def repeat_sigterm(self, number: int, shutdown: Shutdown) -> None:
+        if not shutdown.is_over and self.host.dispatcher_runs(number):
             self.host.stop_dispatcher(number)
 
-    def reload_ending(self, number: int, ending: Ending) -> None:
-        if not ending.is_over:
-            self.reload(number)
+    def reload_during_shutdown(self, number: int, shutdown: Shutdown) -> None:
+        if not shutdown.is_over:
+            self.send_reload(number)
 
     def stop_dispatcher(self, number: int) -> None:
-        """A restart that a fault of the scenario asks for; the soak has its own."""
+        """Ignore the restarts of the scenario's faults; the soak restarts dispatchers by its own series."""
 
-    # --- what must hold beside the four rules
+    # --- checks beside the four rules of the checker
 
-    def check_open_at_kill(self, number: int, ending: Ending) -> None:
-        """What came late enough after SIGTERM is answered before the kill."""
+    def check_open_at_kill(self, number: int, shutdown: Shutdown) -> None:
+        """Check that a request sent late enough after SIGTERM has its response before the kill.
+
+        A request sent right before the kill is excused, and those of `is_excused`. If a hold over the
+        documented limit was under way when SIGTERM was sent, or had just ended, the dispatcher received the
+        signal later, and the request is only counted as late.
+        """
         now = self.host.now()
-        for tried in self.dispatchers[number].open.values():
-            came_after = (tried.sent_at - ending.began_at) / 1e6
-            left = (now - tried.sent_at) / 1e6
-            if came_after <= LATE_REQUESTS_AFTER or left <= LAST_MOMENT or self.is_excused(tried):
+        for submission in self.dispatchers[number].open.values():
+            sent_after = (submission.sent_at - shutdown.began_at) / 1e6
+            age = (now - submission.sent_at) / 1e6
+            if sent_after <= LATE_REQUESTS_AFTER or age <= FINAL_INTERVAL or self.is_excused(submission):
                 continue
-            if self.held_up.covers(number, ending.began_at, ending.began_at):
-                self.findings.held_up += 1  # it learned of SIGTERM that much later
+            if self.hold_tracker.covers(number, shutdown.began_at, shutdown.began_at):
+                self.findings.late_by_hold += 1  # it received SIGTERM only after the hold
             else:
                 self.findings.add(
-                    f"d{number}: {tried.id} came {came_after:.2f} s after SIGTERM, unanswered at the kill",
-                    is_timed=True,
+                    f"d{number}: {submission.id} sent {sent_after:.2f} s after SIGTERM, unanswered at kill",
+                    is_timing_dependent=True,
                 )
 
-    def is_excused(self, tried: RequestTry) -> bool:
-        """Whether its client leaves by itself, or its link is cut, or a crowd may have it shut unread."""
-        there = self.dispatchers[tried.dispatcher].machine
-        machine = self.clients[tried.ask.zone].machine
-        return bool(tried.ask.closes_after) or self.links.cut(machine, there) or self.soak.has_crowd
+    def is_excused(self, submission: RequestTry) -> bool:
+        """Return whether a submission may stay without a response.
 
-    def note_sent(self, question: Any, tried: RequestTry) -> UpstreamRequest:
-        """Keep when a client sends, from which its time counts; opening the connection came before."""
-        self.sent_at[tried.id] = self.host.now()
-        request: UpstreamRequest = question(tried)
+        That is so if its client closes the connection itself, if the link to the dispatcher is cut, or if
+        idle clients fill the descriptors, as the dispatcher may then close the connection unread.
+        """
+        dispatcher_machine = self.dispatchers[submission.dispatcher].machine
+        machine = self.clients[submission.ask.zone].machine
+        return (
+            bool(submission.ask.closes_after)
+            or self.links.cut(machine, dispatcher_machine)
+            or self.soak_script.has_idle_clients
+        )
+
+    def record_sent(self, original_question: Any, submission: RequestTry) -> UpstreamRequest:
+        """Record when a client sends: its timeout counts from then, after the connection was opened."""
+        self.sent_at[submission.id] = self.host.now()
+        request: UpstreamRequest = original_question(submission)
         return request
 
-    def check_time_told(self, dispatched: Any, end: Any, message: Any) -> None:
-        """No attempt tells its worker more time than its client has left, but for the page's allowance."""
-        tried = self.tries.get(message.fields.get(names.REQUEST_ID.lower(), ""))
-        told = message.fields.get(names.TIMEOUT.lower(), "")
-        if tried is not None and told.endswith("u") and not self.was_held_by_network(tried, end, message):
-            # From when its first byte came: a worker that hangs reads late what was sent in time.
-            left = self.time_left(tried, message.first_at)
-            seconds = int(told[:-1]) / 1e6
-            if seconds > left + TOLD_TOO_MUCH + self.host.slack / 1e6:
-                self.told_too_much[tried.id] = f"{left:.3f} s left, {seconds:.3f} s told"
-        dispatched(end, message)
-
-    def time_left(self, tried: RequestTry, now: int) -> float:
-        """Return how many seconds are left to the client; a durable job has its limit, and nobody waits."""
-        if tried.ask.grade.name in self.kept_grades:
-            return self.script.durable.limit
-        return (self.sent_at[tried.id] + tried.ask.limit - now) / 1e6
+    def check_timeout_sent(self, original_dispatched: Any, connection: Any, message: Any) -> None:
+        """Check that no attempt sends its worker a timeout beyond the time left to the client.
+
+        The documented allowance and the slack of the backend are added to that time. An attempt is excused if
+        a cut link may have delayed it or its request.
+        """
+        submission = self.tries.get(message.fields.get(names.REQUEST_ID.lower(), ""))
+        timeout_field = message.fields.get(names.TIMEOUT.lower(), "")
+        if (
+            submission is not None
+            and timeout_field.endswith("u")
+            and not self.was_delayed_by_network(submission, connection, message)
+        ):
+            # Counted from its first byte: a worker that hangs reads late an attempt that was sent in time.
+            seconds_left = self.time_left(submission, message.first_at)
+            seconds_sent = int(timeout_field[:-1]) / 1e6
+            if seconds_sent > seconds_left + EXCESS_TIMEOUT_ALLOWANCE + self.host.slack / 1e6:
+                self.excessive_timeouts[submission.id] = (
+                    f"{seconds_left:.3f} s left, {seconds_sent:.3f} s sent to the worker"
+                )
+        original_dispatched(connection, message)
 
-    def was_held_by_network(self, tried: RequestTry, end: Any, message: Any) -> bool:
-        """Whether a cut link may have held back the request, or the attempt, on its way."""
-        worker, dispatcher = self.workers[end.site.number].machine, self.dispatcher_machines[end.sender]
+    def time_left(self, submission: RequestTry, now: int) -> float:
+        """Return the seconds left to the client; for a durable job, as nobody waits, its whole timeout."""
+        if submission.ask.grade.name in self.kept_grades:
+            return self.script.durable.limit
+        return (self.sent_at[submission.id] + submission.ask.limit - now) / 1e6
+
+    def was_delayed_by_network(self, submission: RequestTry, connection: Any, message: Any) -> bool:
+        """Return whether a cut link may have delayed the request or the attempt on its way."""
+        worker, dispatcher = (
+            self.workers[connection.site.number].machine,
+            self.dispatcher_machines[connection.sender],
+        )
         if self.held_back(dispatcher, worker, message.first_at) is not None:
             return True
-        return self.clients[tried.ask.zone].cut_off(tried)
+        return self.clients[submission.ask.zone].cut_off(submission)
 
     def kill_dispatcher(self, number: int) -> None:
         self.killed_at.setdefault((number, self.dispatchers[number].life), self.host.now())
@@ -302,135 +348,153 @@
         self.started_at.setdefault((number, self.dispatchers[number].life), self.host.now())
 
     def check_reloads(self, lines: list[str]) -> None:
-        """Each process that was sent SIGHUP says so, unless it was starting, or was killed right after it."""
+        """Check that each process that was sent SIGHUP logs a reload.
+
+        Excused are processes that were starting then, or that were killed right after it.
+        """
         for number in range(len(self.dispatchers)):
             plain, structured = f"d{number} reload: settings taken", f"dispatcher=d{number} "
-            noticed = sum(
+            log_count = sum(
                 plain in line or ("config_reloaded" in line and structured in line) for line in lines
             )
             expected = {
                 reload.life
                 for reload in self.reloads
-                if reload.dispatcher == number and self.is_noticed(reload)
+                if reload.dispatcher == number and self.must_be_logged(reload)
             }
-            if noticed < len(expected):
+            if log_count < len(expected):
                 self.findings.add(
-                    f"d{number}: {len(expected)} processes were sent SIGHUP, {noticed} lines say so"
+                    f"d{number}: {len(expected)} processes were sent SIGHUP, {log_count} logged it"
                 )
 
-    def is_noticed(self, reload: Reload) -> bool:
-        """Whether its process has to say so: one that starts may read the new settings at its start."""
+    def must_be_logged(self, reload: Reload) -> bool:
+        """Return whether a process must log the reload.
+
+        One that is starting may read the new settings at its start instead; one that is killed within
+        RELOAD_LOG_TIMEOUT may not have handled the signal yet.
+        """
         process = reload.dispatcher, reload.life
         killed_at = self.killed_at.get(process)
-        is_up = reload.at >= self.started_at[process] + round(START_TIME * 1e6)
-        has_time = killed_at is None or killed_at >= reload.at + round(RELOAD_NOTICED_WITHIN * 1e6)
+        is_up = reload.sent_at >= self.started_at[process] + round(STARTUP_ALLOWANCE * 1e6)
+        has_time = killed_at is None or killed_at >= reload.sent_at + round(RELOAD_LOG_TIMEOUT * 1e6)
         return is_up and has_time
 
-    async def watch_ledgers(self) -> None:
-        """After the traffic, ledgers never differ for longer than the two seconds that are promised.
+    async def check_ledgers_converge(self) -> None:
+        """Check that, after the traffic, ledgers never differ for longer than the documented two seconds.
 
-        They change in between, as rows of processes that have gone are closed once their jobs must have
-        ended: so it is how long they differ on end that counts, not whether they do at one moment.
+        They still change then: the rows of ended processes are closed once their jobs must have ended. So
+        the check is on how long the ledgers differ without interruption, not on whether they differ at one
+        moment. Time in which a link between dispatchers is cut does not count.
         """
         began_at = equal_at = self.host.now()
-        while (now := self.host.now()) < began_at + round((QUIET + LEDGERS_EQUAL_WITHIN) * 1e6):
-            if self.has_cut_dispatchers() or len(set(await self.soak_host.digests())) <= 1:
+        while (now := self.host.now()) < began_at + round((QUIET_TIME + LEDGER_CONVERGENCE_TIMEOUT) * 1e6):
+            if self.has_cut_dispatchers() or len(set(await self.soak_backend.digests())) <= 1:
                 equal_at = now
-            elif now - equal_at > round(LEDGERS_EQUAL_WITHIN * 1e6):
-                self.findings.add(f"ledgers differ for over {LEDGERS_EQUAL_WITHIN} s of quiet")
+            elif now - equal_at > round(LEDGER_CONVERGENCE_TIMEOUT * 1e6):
+                self.findings.add(f"ledgers differ for over {LEDGER_CONVERGENCE_TIMEOUT} s of quiet")
                 return
-            await asyncio.sleep(LEDGER_LOOK_INTERVAL)
+            await asyncio.sleep(LEDGER_POLL_INTERVAL)
 
     def is_serving(self, number: int) -> bool:
-        """Whether clients may come to a dispatcher: it is up and not ending."""
+        """Return whether clients may use a dispatcher: its startup is over and it is not in shutdown."""
         dispatcher = self.dispatchers[number]
         process = (number, dispatcher.life)
-        has_started = self.host.now() >= self.started_at.get(process, 0) + round(START_TIME * 1e6)
+        has_started = self.host.now() >= self.started_at.get(process, 0) + round(STARTUP_ALLOWANCE * 1e6)
         return dispatcher.alive and not dispatcher.stopping and has_started
 
-    def served_since(self, number: int, since: int) -> bool:
-        """Whether a dispatcher has been there for its clients from then on: up, heard and not held up."""
+    def has_served_since(self, number: int, since: int) -> bool:
+        """Return whether a dispatcher has been up, reachable and not held up over the limit since then."""
         machine = self.dispatcher_machines[number]
         client = self.clients[machine.zone].machine
         is_cut = self.links.cut(client, machine) or self.links.cut(machine, client)
         was_cut = self.timeline.links_changed_at >= since
-        has_ended = self.ending_since(number, since)
+        has_ended = self.was_ended_since(number, since)
         is_up = self.is_serving(number) and not has_ended
-        return is_up and not is_cut and not was_cut and not self.held_up.overlaps(number, since)
+        return is_up and not is_cut and not was_cut and not self.hold_tracker.has_hold_since(number, since)
 
-    def ending_since(self, number: int, since: int) -> bool:
-        """Whether a dispatcher has been sent a signal that ends it since then."""
-        ending = self.endings.get(number)
+    def was_ended_since(self, number: int, since: int) -> bool:
+        """Return whether a dispatcher has been sent SIGTERM or SIGKILL since then."""
+        shutdown = self.shutdowns.get(number)
         was_killed = any(at >= since for (other, _), at in self.killed_at.items() if other == number)
-        return was_killed or (ending is not None and ending.began_at >= since)
+        return was_killed or (shutdown is not None and shutdown.began_at >= since)
 
     def has_cut_dispatchers(self) -> bool:
-        """Whether dispatchers do not hear each other."""
+        """Return whether a link between two dispatchers is cut."""
         return any(self.links.cut(*pair) for pair in permutations(self.dispatcher_machines, 2))
 
     def check_quotas(self, traces: list[QuotaTrace], begun: int) -> None:
-        """No quota was over the whole, and each owner had its loans back in time."""
-        told = cluster_report.figures(self.script, traces, self.asks, begun, [])
-        for text in told["first"]:
+        """Check that no quota exceeded the whole, and that each lender had its loans back in time."""
+        figures = cluster_report.figures(self.script, traces, self.asks, begun, [])
+        for text in figures["first"]:
             self.findings.add(f"quota over the whole: {text}")
-        if told["late_reclaims"]:
-            text = f"{told['late_reclaims']} of {told['reclaims']} loans back late: {told['reclaim_s']}"
-            self.findings.add(text, is_timed=True)
-
-    def was_held_past_its_limit(self, rule: str, what: str, answered_at: int) -> bool:
-        """Whether a late response was due in a hold that the page does not allow, or a log says so."""
-        request_id = what.partition(" ")[0].rstrip(":")
-        tried = self.tries.get(request_id)
-        if rule != "late" or tried is None:
+        if figures["late_reclaims"]:
+            text = (
+                f"{figures['late_reclaims']} of {figures['reclaims']} loans back late: {figures['reclaim_s']}"
+            )
+            self.findings.add(text, is_timing_dependent=True)
+
+    def is_excused_by_hold(self, rule: str, description: str, answered_at: int) -> bool:
+        """Return whether a late response was due in a hold over the limit, or a log says it was held up."""
+        request_id = description.partition(" ")[0].rstrip(":")
+        submission = self.tries.get(request_id)
+        if rule != "late" or submission is None:
             return False
-        due = tried.limit_at + self.checker.terms.slack
-        if request_id in self.held_up.timed_out_late:
+        due_at = submission.limit_at + self.checker.terms.slack
+        if request_id in self.hold_tracker.timed_out_late:
             return True
-        return self.held_up.covers(tried.dispatcher, due, answered_at)
+        return self.hold_tracker.covers(submission.dispatcher, due_at, answered_at)
 
-    def collect(self, lines: list[str]) -> None:
-        """Add what the checker of the four rules has found, given the dispatchers' logs."""
+    def collect_violations(self, lines: list[str]) -> None:
+        """Add the violations of the checker and of the timeouts sent, given the dispatchers' logs.
+
+        Those that the documentation allows are only counted: a new connection closed unread while idle
+        clients fill the descriptors; a late response that was due in a hold over the documented limit, or
+        whose deadline a dispatcher logged as noticed late; and an excessive timeout of an attempt that a
+        dispatcher logged as written late.
+        """
         findings = self.findings
-        self.held_up.read_log(lines)
-        for request_id, text in self.told_too_much.items():
-            if request_id in self.held_up.written_late:
-                findings.held_up += 1
+        self.hold_tracker.read_log(lines)
+        for request_id, text in self.excessive_timeouts.items():
+            if request_id in self.hold_tracker.written_late:
+                findings.late_by_hold += 1
             else:
-                findings.add(f"{request_id}: {text}", is_timed=True)
+                findings.add(f"{request_id}: {text}", is_timing_dependent=True)
         findings.requests = len(self.asks)
         findings.answered = sum(1 for ask in self.asks if ask.answered_at)
-        for breach in self.checker.breaches:
-            is_unseen = self.ended_unseen(breach.rule, breach.what)
-            if is_unseen and self.soak.has_crowd:
-                findings.shut_unread += 1  # the page allows it of a new connection while descriptors are full
+        for violation in self.checker.breaches:
+            is_undispatched_loss = self.was_lost_before_dispatch(violation.rule, violation.what)
+            if is_undispatched_loss and self.soak_script.has_idle_clients:
+                findings.closed_unread += 1  # allowed for a new connection while descriptors are full
                 continue
-            if self.was_held_past_its_limit(breach.rule, breach.what, breach.at):
-                findings.held_up += 1
+            if self.is_excused_by_hold(violation.rule, violation.what, violation.at):
+                findings.late_by_hold += 1
                 continue
-            if is_unseen:
-                self.lost_at.append(breach.at)
+            if is_undispatched_loss:
+                self.undispatched_loss_times.append(violation.at)
             findings.add(
-                f"{breach.at / 1e6:.3f} {breach.rule}: {breach.what}{self.history(breach.what)}",
-                is_timed=breach.rule in TIMED_RULES,
+                f"{violation.at / 1e6:.3f} {violation.rule}: {violation.what}{self.describe(violation.what)}",
+                is_timing_dependent=violation.rule in TIMING_DEPENDENT_RULES,
             )
         if self.crashed:
-            findings.add(f"{self.crashed} dispatchers ended by themselves")
+            findings.add(f"{self.crashed} dispatchers ended without SIGTERM")
 
-    def history(self, what: str) -> str:
-        """Say when the request of a breach was sent, where it went, and when its dispatcher ended."""
-        request_id = what.partition(" ")[0].rstrip(":")
-        tried = self.tries.get(request_id)
-        if tried is None:
+    def describe(self, description: str) -> str:
+        """Return when a violation's request was sent, its workers, and when its dispatcher got SIGTERM."""
+        request_id = description.partition(" ")[0].rstrip(":")
+        submission = self.tries.get(request_id)
+        if submission is None:
             return ""
-        sent_at = self.sent_at.get(request_id, tried.sent_at) / 1e6
-        workers = [f"w{came.worker}" for came in self.checker.came.get(request_id, ())]
-        ending = self.endings.get(tried.dispatcher)
-        ended = f", its dispatcher was sent SIGTERM at {ending.began_at / 1e6:.3f}" if ending else ""
-        return f"; sent at {sent_at:.3f}, to {', '.join(workers) or 'no worker'}{ended}"
-
-    def ended_unseen(self, rule: str, what: str) -> bool:
-        """Whether a connection ended with no answer under a request that reached no worker."""
-        request_id = what.partition(" ")[0]
-        tried = self.tries.get(request_id)
+        sent_at = self.sent_at.get(request_id, submission.sent_at) / 1e6
+        workers = [f"w{arrival.worker}" for arrival in self.checker.came.get(request_id, ())]
+        shutdown = self.shutdowns.get(submission.dispatcher)
+        shutdown_text = (
+            f", its dispatcher was sent SIGTERM at {shutdown.began_at / 1e6:.3f}" if shutdown else ""
+        )
+        return f"; sent at {sent_at:.3f}, to {', '.join(workers) or 'no worker'}{shutdown_text}"
+
+    def was_lost_before_dispatch(self, rule: str, description: str) -> bool:
+        """Return whether a connection ended without a response to a request that reached no worker."""
+        request_id = description.partition(" ")[0]
+        submission = self.tries.get(request_id)
         never_sent = request_id not in self.checker.came
-        return rule == "lost" and never_sent and tried is not None and tried.ended == traffic.BROKEN
+        return rule == "lost" and never_sent and submission is not None and submission.ended == traffic.BROKEN
--- a/tests/soak/virtual.py
+++ b/tests/soak/virtual.py
@@ -1,4 +1,4 @@
-"""Plays the same script in virtual time: what a second process would disturb, it cannot."""
+"""Runs the same scripts in virtual time, in which other processes on the machine disturb nothing."""
 
 from __future__ import annotations
 
@@ -10,90 +10,95 @@
 from locktide.simulation.run import attach_in_virtual_time
 from locktide.simulation.virtual_backend import VirtualBackend
 from locktide.simulation.virtual_time.loop import VirtualLoop
-from soak.crowd import VirtualCrowd
+from soak.crowd import VirtualIdleClients
 from soak.findings import Findings
-from soak.loopback import FAULT_LINES
-from soak.rough import RoughClients
-from soak.script import draw
-from soak.stage import QUIET, SoakStage
+from soak.loopback import DEFECT_LOG_TEXTS
+from soak.rough import RawClients
+from soak.script import draw_script
+from soak.stage import QUIET_TIME, SoakRunner
 
 
 class SoakVirtualBackend(VirtualBackend):
-    """Dispatchers whose disks may be full, but not at a start: that ends with an error, for an operator."""
+    """Dispatchers whose disks may be full, but not at a start: it would end with an error for an operator."""
 
-    def start_dispatcher(self, number: int, told: dict[str, Any]) -> None:
-        self.set_room(number, None)
-        super().start_dispatcher(number, told)
+    def start_dispatcher(self, number: int, start_file: dict[str, Any]) -> None:
+        self.set_free_space(number, None)
+        super().start_dispatcher(number, start_file)
 
     def fill_disk(self, number: int) -> None:
-        """Let the disk of a dispatcher that has started take nothing more."""
+        """Make the disk of a dispatcher full, if the dispatcher is ready."""
         if number in self.nodes and self.nodes[number].is_ready():
-            self.set_room(number, 0)
+            self.set_free_space(number, 0)
 
-    def set_room(self, number: int, room: int | None) -> None:
-        """Let the disk of a dispatcher take so many bytes more, or any number."""
+    def set_free_space(self, number: int, free_bytes: int | None) -> None:
+        """Set how many more bytes the disk of a dispatcher takes; None means no limit."""
         if number in self.platters:
-            self.platters[number].room = room
+            self.platters[number].room = free_bytes
 
 
-def play(seed: int, always_holds: bool = False) -> Findings:
-    """Play one seed."""
-    script = draw(seed, always_holds)
+def run_seed(seed: int, always_holds: bool = False) -> Findings:
+    """Run the script of one seed."""
+    script = draw_script(seed, always_holds)
     findings = Findings(seed)
     loop = VirtualLoop()  # type: ignore[abstract]
-    host = SoakVirtualBackend(loop)
-    stage = SoakStage(script, host, findings)
-    attach_in_virtual_time(script.scenario, stage, host)
+    backend = SoakVirtualBackend(loop)
+    runner = SoakRunner(script, backend, findings)
+    attach_in_virtual_time(script.scenario, runner, backend)
     gc.collect()
     gc.disable()
     try:
-        loop.run_until_complete(_play(stage, host))
-        stage.collect(host.said)
-        stage.close()
-        loop.run_until_complete(host.clear_away())
+        loop.run_until_complete(_run_script(runner, backend))
+        runner.collect_violations(backend.said)
+        runner.close()
+        loop.run_until_complete(backend.clear_away())
         loop.run_until_complete(asyncio.sleep(1.0))
-        for each in loop.trouble:
-            findings.add(f"trouble: {each.get('exception') or each['message']}")
-        host.drop()
+        for error_context in loop.trouble:
+            findings.add(f"event loop error: {error_context.get('exception') or error_context['message']}")
+        backend.drop()
     finally:
         gc.enable()
         loop.close()
     return findings
 
 
-def _set_full_disks(stage: SoakStage, host: SoakVirtualBackend) -> None:
-    """Let disks be full at the moments of the script."""
-    for full in stage.soak.full_disks:
-        host.call_at(round(full.at * 1e6), host.fill_disk, full.dispatcher)
-        host.call_at(round((full.at + full.length) * 1e6), host.set_room, full.dispatcher, None)
-
-
-async def _play(stage: SoakStage, host: SoakVirtualBackend) -> None:
-    stage.on_begin.append(partial(_set_full_disks, stage, host))
-    if stage.soak.has_rough_clients:
-        stage.on_begin.append(RoughClients(stage, stage.soak.seed).begin)
-    crowd = VirtualCrowd(stage, stage.soak.seed)
-    if stage.soak.has_crowd:
-        stage.spawn(crowd.run())
-    await stage.play()
-    crowd.leave()
-    if stage.script.accord.on:
-        await stage.watch_ledgers()
-        stage.check_quotas(*host.traced())
-    await asyncio.sleep(QUIET)
-    for line in host.said:
-        if any(text in line for text in FAULT_LINES):
-            stage.findings.add(f"log: {line}")
-    stage.check_reloads(host.said)
-    for number, node in host.nodes.items():
-        if host.dispatcher_runs(number):
-            _check_left(stage, number, node)
-
-
-def _check_left(stage: SoakStage, number: int, node: Any) -> None:
-    """After some quiet nothing is open, and every descriptor is given back but for idle connections."""
+def _schedule_full_disks(runner: SoakRunner, backend: SoakVirtualBackend) -> None:
+    """Set timers for the times in which the script makes disks full."""
+    for full_disk in runner.soak_script.full_disks:
+        backend.call_at(round(full_disk.begins_at * 1e6), backend.fill_disk, full_disk.dispatcher)
+        backend.call_at(
+            round((full_disk.begins_at + full_disk.duration) * 1e6),
+            backend.set_free_space,
+            full_disk.dispatcher,
+            None,
+        )
+
+
+async def _run_script(runner: SoakRunner, backend: SoakVirtualBackend) -> None:
+    runner.on_traffic_start.append(partial(_schedule_full_disks, runner, backend))
+    if runner.soak_script.has_raw_clients:
+        runner.on_traffic_start.append(RawClients(runner, runner.soak_script.seed).start)
+    idle_clients = VirtualIdleClients(runner, runner.soak_script.seed)
+    if runner.soak_script.has_idle_clients:
+        runner.spawn(idle_clients.run())
+    await runner.play()
+    idle_clients.close_all()
+    if runner.script.accord.on:
+        await runner.check_ledgers_converge()
+        runner.check_quotas(*backend.traced())
+    await asyncio.sleep(QUIET_TIME)
+    for line in backend.said:
+        if any(text in line for text in DEFECT_LOG_TEXTS):
+            runner.findings.add(f"log: {line}")
+    runner.check_reloads(backend.said)
+    for number, node in backend.nodes.items():
+        if backend.dispatcher_runs(number):
+            _check_released(runner, number, node)
+
+
+def _check_released(runner: SoakRunner, number: int, node: Any) -> None:
+    """Check after QUIET_TIME that no request or task is open, and only idle connections use descriptors."""
     idle = sum(map(len, node.upstream.idle.by_worker.values()))
     if node.registry.open_requests or node.tasks:
-        stage.findings.add(f"d{number}: {len(node.registry.open_requests)} requests are left open")
+        runner.findings.add(f"d{number}: {len(node.registry.open_requests)} requests are left open")
     if node.upstream.descriptors.used > idle:
-        stage.findings.add(f"d{number}: {node.upstream.descriptors.used} descriptors, {idle} idle")
+        runner.findings.add(f"d{number}: {node.upstream.descriptors.used} descriptors, {idle} idle")
