--- a/locktide/cli/simulate.py
+++ b/locktide/cli/simulate.py
@@ -214,7 +214,7 @@
     console = Console(stderr=as_json)
     signal.signal(signal.SIGTERM, raise_keyboard_interrupt)
     try:
-        scenario = None if drawn else scenarios.load(file) if file else scenarios.embedded()
+        scenario = None if drawn else scenarios.load(file) if file else scenarios.default_scenario()
         first = Variant(file.stem if file else "rough" if drawn else "overlap", scenario, program, durable)
         second = second_variant(first, against)
     except ConfigFileError as errors:
--- a/locktide/simulation/client_site.py
+++ b/locktide/simulation/client_site.py
@@ -36,65 +36,71 @@
             for there in stage.dispatcher_machines
         ]
 
-    async def play(self, ask: ClientRequest) -> None:
+    async def play(self, request: ClientRequest) -> None:
         """One job, over all its tries."""
-        if ask.grade.name in self.stage.kept_grades:
-            await self.play_kept(ask)
+        if request.grade.name in self.stage.kept_grades:
+            await self.play_kept(request)
             return
         host, stage = self.stage.host, self.stage
         while True:
             now = host.now()
-            tried = RequestTry(
-                f"{stage.script.seed:x}-{ask.number:x}-{len(ask.tries)}", ask, len(ask.tries), -1, now
+            submission = RequestTry(
+                f"{stage.script.seed:x}-{request.number:x}-{len(request.tries)}",
+                request,
+                len(request.tries),
+                -1,
+                now,
             )
-            ask.tries.append(tried)
-            stage.tries[tried.id] = tried
-            chosen = self.front.choose(now, ask.home)
+            request.tries.append(submission)
+            stage.tries[submission.id] = submission
+            chosen = self.front.choose(now, request.home)
             if chosen is None:
-                tried.ended = traffic.REFUSED
+                submission.ended = traffic.REFUSED
             else:
-                tried.dispatcher = chosen
-                await self.attempt(tried)
-            tried.ended_at = host.now()
-            if tried.ended == traffic.ANSWERED:
-                ask.answered_at = tried.ended_at
-                stage.waits(ask)
+                submission.dispatcher = chosen
+                await self.attempt(submission)
+            submission.ended_at = host.now()
+            if submission.ended == traffic.ANSWERED:
+                request.answered_at = submission.ended_at
+                stage.waits(request)
                 return
-            wait = traffic.retry_delay(ask, tried, stage.script)
+            wait = traffic.retry_delay(request, submission, stage.script)
             if wait is None:
                 return
             await asyncio.sleep(wait / 1e6)
 
     # --- durable jobs
 
-    async def play_kept(self, ask: ClientRequest) -> None:
+    async def play_kept(self, request: ClientRequest) -> None:
         """Hands the job in at one dispatcher until that has accepted it, and asks there for what came of it.
 
         It counts as lost where it was accepted and no final answer can be had, for as long as it may take.
         """
         host, stage = self.stage.host, self.stage
-        homes = list(self.front.taken_in)
-        home = homes[ask.number % len(homes)]
-        limit_at = ask.at + ask.limit
+        homes = list(self.front.in_service)
+        home = homes[request.number % len(homes)]
+        limit_at = request.at + request.limit
         place = ""
         while not place and host.now() < limit_at:
-            tried = RequestTry(
-                f"{stage.script.seed:x}-{ask.number:x}-{len(ask.tries)}",
-                ask,
-                len(ask.tries),
+            submission = RequestTry(
+                f"{stage.script.seed:x}-{request.number:x}-{len(request.tries)}",
+                request,
+                len(request.tries),
                 home,
                 host.now(),
             )
-            ask.tries.append(tried)
-            stage.tries[tried.id] = tried
-            reply = await self.ask_kept(self.question(tried), home)
-            tried.ended_at = host.now()
+            request.tries.append(submission)
+            stage.tries[submission.id] = submission
+            reply = await self.ask_kept(self.question(submission), home)
+            submission.ended_at = host.now()
             if reply is None or reply.status == 409:
-                tried.ended = traffic.REFUSED  # or cut off: the number tells the next one that it is the same
+                submission.ended = (
+                    traffic.REFUSED
+                )  # or cut off: the number tells the next one that it is the same
             elif reply.status in (200, 202):
-                place = reply.headers.get("location", names.JOBS + tried.id)
+                place = reply.headers.get("location", names.JOBS + submission.id)
             else:
-                tried.ended = traffic.DENIED if reply.status in (429, 503) else traffic.TERMINATED
+                submission.ended = traffic.DENIED if reply.status in (429, 503) else traffic.TERMINATED
                 if "job-state" in reply.headers:
                     return
             if not place:
@@ -102,12 +108,12 @@
         if not place:
             return
         stage.records["accepted"] += 1
-        await self.follow_kept(ask, place, home)
+        await self.follow_kept(request, place, home)
 
-    async def follow_kept(self, ask: ClientRequest, place: str, home: int) -> None:
+    async def follow_kept(self, request: ClientRequest, place: str, home: int) -> None:
         host, stage = self.stage.host, self.stage
         until = host.now() + int((stage.script.durable.limit + KEPT_GRACE) * 1e6)
-        tried = stage.tries[place[len(names.JOBS) :]]
+        submission = stage.tries[place[len(names.JOBS) :]]
         while host.now() < until:
             reply = await self.ask_kept(UpstreamRequest("GET", place, []), home)
             state = reply.headers.get("job-state") if reply is not None else None
@@ -116,20 +122,22 @@
             await asyncio.sleep(ASK_AGAIN)
         else:
             reply, state = None, None
-        tried.ended_at = host.now()
+        submission.ended_at = host.now()
         if reply is None or state is None:
             stage.records["lost"] += 1
-            tried.ended = traffic.SILENT
-            stage.checker.breach(host.now(), "lost", f"{tried.id}: accepted, and no final answer can be had")
+            submission.ended = traffic.SILENT
+            stage.checker.record_violation(
+                host.now(), "lost", f"{submission.id}: accepted, and no final answer can be had"
+            )
             return
         stage.records[state] += 1
-        tried.ended = {"done": traffic.ANSWERED, "denied": traffic.DENIED}.get(state, traffic.TERMINATED)
+        submission.ended = {"done": traffic.ANSWERED, "denied": traffic.DENIED}.get(state, traffic.TERMINATED)
         status = {"done": 200, "denied": 503}.get(state, 502)
         # Asked for now and then: how late it is says nothing of the dispatcher.
-        stage.checker.answered(tried, min(host.now(), tried.limit_at), status, reply.body)
+        stage.checker.answered(submission, min(host.now(), submission.limit_at), status, reply.body)
         if state == "done":
-            ask.answered_at = host.now()
-            stage.waits(ask)
+            request.answered_at = host.now()
+            stage.waits(request)
 
     async def ask_kept(self, question: UpstreamRequest, home: int) -> UpstreamResponse | None:
         """One question to that dispatcher; None where it gave no answer."""
@@ -146,66 +154,66 @@
         lines.give_back(line)
         return reply
 
-    def question(self, tried: RequestTry) -> UpstreamRequest:
-        ask = tried.ask
+    def question(self, submission: RequestTry) -> UpstreamRequest:
+        request = submission.ask
         headers = [
-            (names.REQUEST_ID.encode(), tried.id.encode()),
-            (names.SERVICE_CLASS.encode(), ask.grade.name.encode()),
-            (names.TIMEOUT.encode(), b"%dm" % (ask.limit // 1000)),
+            (names.REQUEST_ID.encode(), submission.id.encode()),
+            (names.SERVICE_CLASS.encode(), request.grade.name.encode()),
+            (names.TIMEOUT.encode(), b"%dm" % (request.limit // 1000)),
         ]
-        kept = ask.grade.name in self.stage.kept_grades
+        kept = request.grade.name in self.stage.kept_grades
         if kept:
             headers.append((names.PREFER.encode(), b"respond-async"))
-        if ask.grade.effect == "numbered" or kept:
-            headers.append((names.IDEMPOTENCY_KEY.encode(), ask.key.encode()))
-        extras = [f"{names.WIDTH}={ask.width}"] if ask.width != 1 else []
-        extras += [f"{names.TENANT}={ask.tenant}"] if ask.tenant else []
+        if request.grade.effect == "numbered" or kept:
+            headers.append((names.IDEMPOTENCY_KEY.encode(), request.key.encode()))
+        extras = [f"{names.WIDTH}={request.width}"] if request.width != 1 else []
+        extras += [f"{names.TENANT}={request.tenant}"] if request.tenant else []
         if extras:
             headers.append((names.EXTRAS.encode(), ", ".join(extras).encode()))
-        return UpstreamRequest("POST", f"/{ask.grade.name}", headers, self.stage.body(ask))
+        return UpstreamRequest("POST", f"/{request.grade.name}", headers, self.stage.body(request))
 
-    async def attempt(self, tried: RequestTry) -> None:
+    async def attempt(self, submission: RequestTry) -> None:
         """Sets how the try ended, and tells the checker."""
-        stage, ask, host = self.stage, tried.ask, self.stage.host
-        dispatcher = stage.dispatchers[tried.dispatcher]
+        stage, request, host = self.stage, submission.ask, self.stage.host
+        dispatcher = stage.dispatchers[submission.dispatcher]
         life = dispatcher.life
-        closes_at = tried.sent_at + ask.closes_after if ask.closes_after else None
-        until = closes_at or tried.limit_at + LISTENS_ON
-        dispatcher.open[tried.id] = tried
+        closes_at = submission.sent_at + request.closes_after if request.closes_after else None
+        until = closes_at or submission.limit_at + LISTENS_ON
+        dispatcher.open[submission.id] = submission
         try:
             async with asyncio.timeout((until - host.now()) / 1e6):
-                reply = await self.ask(tried)
+                reply = await self.ask(submission)
         except TimeoutError:
             if closes_at is not None:
-                tried.ended = traffic.CLOSED
-                stage.checker.closed(tried, self.heard_at(tried))
+                submission.ended = traffic.CLOSED
+                stage.checker.closed(submission, self.heard_at(submission))
             else:
-                tried.ended = traffic.SILENT
-                self.blame(tried, life, "no answer")
+                submission.ended = traffic.SILENT
+                self.blame(submission, life, "no answer")
             return
         except OSError as trouble:
             # It never took it: the connection was not made, or was refused.
-            tried.ended = traffic.REFUSED
-            stage.checker.closed(tried, host.now())
+            submission.ended = traffic.REFUSED
+            stage.checker.closed(submission, host.now())
             del trouble
             return
         except ProtocolError:
-            tried.ended = traffic.BROKEN
-            self.blame(tried, life, "ended with no whole answer")
+            submission.ended = traffic.BROKEN
+            self.blame(submission, life, "ended with no whole answer")
             return
         finally:
-            dispatcher.open.pop(tried.id, None)
-        self.answered(tried, reply)
+            dispatcher.open.pop(submission.id, None)
+        self.answered(submission, reply)
 
-    def blame(self, tried: RequestTry, life: int, how: str) -> None:
-        dispatcher = self.stage.dispatchers[tried.dispatcher]
-        if dispatcher.life != life or not dispatcher.alive or self.cut_off(tried):
-            self.stage.checker.killed([tried])
-        self.stage.checker.unanswered(tried, self.stage.host.now(), how)
+    def blame(self, submission: RequestTry, life: int, how: str) -> None:
+        dispatcher = self.stage.dispatchers[submission.dispatcher]
+        if dispatcher.life != life or not dispatcher.alive or self.cut_off(submission):
+            self.stage.checker.killed([submission])
+        self.stage.checker.unanswered(submission, self.stage.host.now(), how)
 
-    async def ask(self, tried: RequestTry) -> UpstreamResponse:
+    async def ask(self, submission: RequestTry) -> UpstreamResponse:
         """Raises OSError where it was never handed in, Broken where it was and no answer came."""
-        lines = self.lines[tried.dispatcher]
+        lines = self.lines[submission.dispatcher]
         for anew in (False, True):
             try:
                 async with asyncio.timeout(CONNECT_WITHIN):
@@ -216,63 +224,63 @@
                 raise OSError("no connection") from None
             sent_at = self.stage.host.now()
             try:
-                reply = await line.ask(self.question(tried))
+                reply = await line.ask(self.question(submission))
             except (OSError, ProtocolError) as trouble:
                 lines.drop(line)
-                if self.crossed(line, tried, sent_at) and not anew:
+                if self.crossed(line, submission, sent_at) and not anew:
                     continue  # closed between submissions, unread: sent once more on a new one
                 raise ProtocolError(str(trouble)) from None
             except asyncio.CancelledError:
                 lines.drop(line)
                 raise
-            self.more(tried, line)
+            self.more(submission, line)
             lines.give_back(line)
             return reply
         raise ProtocolError("closed twice")
 
-    def crossed(self, line: IdleConnection, tried: RequestTry, sent_at: int) -> bool:
+    def crossed(self, line: IdleConnection, submission: RequestTry, sent_at: int) -> bool:
         """Whether a kept connection was closed before what was sent on it can have been read."""
-        there = self.stage.dispatchers[tried.dispatcher].machine
-        both_ways = 2 * self.stage.links.most(self.machine, there) + CROSSING + self.stage.host.slack
+        there = self.stage.dispatchers[submission.dispatcher].machine
+        both_ways = 2 * self.stage.links.max_delay(self.machine, there) + CROSSING + self.stage.host.slack
         return line.kept and not line.exchange.has_received and self.stage.host.now() - sent_at <= both_ways
 
-    def heard_at(self, tried: RequestTry) -> int:
+    def heard_at(self, submission: RequestTry) -> int:
         """When the dispatcher knows at the latest that this client has gone away."""
-        now, there = self.stage.host.now(), self.stage.dispatchers[tried.dispatcher].machine
+        now, there = self.stage.host.now(), self.stage.dispatchers[submission.dispatcher].machine
         if self.stage.links.cut(self.machine, there):
-            return tried.limit_at
-        return now + self.stage.links.most(self.machine, there) + CROSSING
+            return submission.limit_at
+        return now + self.stage.links.max_delay(self.machine, there) + CROSSING
 
-    def cut_off(self, tried: RequestTry) -> bool:
+    def cut_off(self, submission: RequestTry) -> bool:
         """Whether the link to the dispatcher was cut at any time while the try was open: nobody is to blame
         then.
         """
-        there = self.stage.dispatchers[tried.dispatcher].machine
+        there = self.stage.dispatchers[submission.dispatcher].machine
         if there.zone == self.machine.zone:
             return False
         links = self.stage.links
-        return links.cut(self.machine, there) or self.stage.links_changed_at() >= tried.sent_at
+        return links.cut(self.machine, there) or self.stage.links_changed_at() >= submission.sent_at
 
-    def more(self, tried: RequestTry, line: IdleConnection) -> None:
+    def more(self, submission: RequestTry, line: IdleConnection) -> None:
         """What follows an answer unasked is a second one."""
         if line.exchange.has_unparsed_bytes:
-            self.stage.checker.answered(tried, self.stage.host.now(), 0, b"")
+            self.stage.checker.answered(submission, self.stage.host.now(), 0, b"")
 
-    def answered(self, tried: RequestTry, reply: UpstreamResponse) -> None:
+    def answered(self, submission: RequestTry, reply: UpstreamResponse) -> None:
         now = self.stage.host.now()
-        late = now > tried.limit_at + self.stage.checker.terms.slack
-        if late and self.cut_off(tried):
-            self.stage.checker.closed(tried, now)
+        late = now > submission.limit_at + self.stage.checker.config.slack
+        if late and self.cut_off(submission):
+            self.stage.checker.closed(submission, now)
         else:
-            self.stage.checker.answered(tried, now, reply.status, reply.body)
+            self.stage.checker.answered(submission, now, reply.status, reply.body)
         if reply.status == 200:
-            in_time = now <= tried.limit_at + self.stage.checker.terms.slack
-            tried.ended = traffic.ANSWERED if in_time else traffic.LATE
+            in_time = now <= submission.limit_at + self.stage.checker.config.slack
+            submission.ended = traffic.ANSWERED if in_time else traffic.LATE
         elif reply.status in (429, 503):
-            tried.ended = traffic.DENIED
+            submission.ended = traffic.DENIED
             try:
-                tried.advice = int(float(reply.headers.get("retry-after", "0")) * 1e6)
+                submission.advice = int(float(reply.headers.get("retry-after", "0")) * 1e6)
             except ValueError:
-                tried.advice = 0
+                submission.advice = 0
         else:
-            tried.ended = traffic.TERMINATED
+            submission.ended = traffic.TERMINATED
--- a/locktide/simulation/cluster_report.py
+++ b/locktide/simulation/cluster_report.py
@@ -28,12 +28,16 @@
 
 
 def figures(
-    script: Scenario, traces: Iterable[QuotaTrace], asks: list[ClientRequest], begun: int, digests: list[str]
+    scenario: Scenario,
+    traces: Iterable[QuotaTrace],
+    requests: list[ClientRequest],
+    begun: int,
+    digests: list[str],
 ) -> dict[str, Any]:
     """`begun` is when the rehearsal's time began, in microseconds of the traces' clock; `digests` are those
     of the ledgers of all that live, after QUIET.
     """
-    meter = QuotaChecker({tenant.name: (0.0, 0.0) for tenant in script.tenant})
+    meter = QuotaChecker({tenant.name: (0.0, 0.0) for tenant in scenario.tenant})
     changes = 0
     for place, trace in enumerate(traces):
         for line in trace.lines:
@@ -50,7 +54,9 @@
             )
         if trace.ended_at:
             meter.end((trace.number, place), trace.ended_at)
-    for at, tenant in sorted((tried.sent_at, ask.tenant) for ask in asks for tried in ask.tries):
+    for at, tenant in sorted(
+        (submission.sent_at, request.tenant) for request in requests for submission in request.tries
+    ):
         if tenant:
             meter.ask(tenant, begun + at)
     overruns, reclaims = meter.overruns(), meter.reclaims(AWAY)
@@ -58,9 +64,9 @@
     spans = sorted(one.loans_over for one in reclaims)
     served: Counter[str] = Counter()
     asked: Counter[str] = Counter()
-    for ask in asks:
-        asked[ask.tenant] += 1
-        served[ask.tenant] += bool(ask.answered_at)
+    for request in requests:
+        asked[request.tenant] += 1
+        served[request.tenant] += bool(request.answered_at)
     return {
         "changes": changes,
         "overruns": len(overruns),
@@ -78,7 +84,7 @@
                 "asked": asked[tenant.name],
                 "done": round(served[tenant.name] / asked[tenant.name], 4) if asked[tenant.name] else None,
             }
-            for tenant in script.tenant
+            for tenant in scenario.tenant
         },
     }
 
--- a/locktide/simulation/fault_injector.py
+++ b/locktide/simulation/fault_injector.py
@@ -8,7 +8,7 @@
 from locktide.simulation.interfaces import EmulatedDispatcher, RunContext
 from locktide.simulation.model import random_streams as chance
 from locktide.simulation.model import traffic
-from locktide.simulation.model.scenario import DISPATCHERS, WORKERS, FaultSpec, whom
+from locktide.simulation.model.scenario import DISPATCHERS, WORKERS, FaultSpec, resolve_targets
 from locktide.simulation.model.worker import SharedCapacity
 from locktide.simulation.worker_site import WorkerSite
 
@@ -51,23 +51,23 @@
         ]
 
     def choose(self, place: int, incident: FaultSpec) -> list[int]:
-        script = self.stage.script
+        scenario = self.stage.script
         if incident.what not in WORKERS | DISPATCHERS:
             return []
-        named, part = whom(script, incident)
+        named, part = resolve_targets(scenario, incident)
         if not part:
             return named
-        count = script.fleet.dispatchers if incident.what in DISPATCHERS else script.fleet.workers
+        count = scenario.fleet.dispatchers if incident.what in DISPATCHERS else scenario.fleet.workers
         # One, where a part of a small fleet is less.
         most = max(1, round(part * count))
-        order = sorted(range(count), key=lambda one: chance.unit(script.seed, "whom", place, one))
+        order = sorted(range(count), key=lambda one: chance.unit(scenario.seed, "whom", place, one))
         return sorted(order[:most])
 
     def set(self) -> None:
         """Sets a timer for each begin and end."""
         host, seed = self.stage.host, self.stage.script.seed
         for place, (incident, numbers) in enumerate(self.chosen):
-            if incident.what in traffic.DRAWN:
+            if incident.what in traffic.TRAFFIC_FAULTS:
                 continue
             begins, span = int(incident.at * 1e6), int(incident.length * 1e6)
             act = getattr(self, "do_" + incident.what.replace("-", "_"))
@@ -174,7 +174,7 @@
             if site.life != life or not site.worker.up:
                 return
             now = self.stage.host.now()
-            if site.worker.holds():
+            if site.worker.job_count():
                 self.later(now + LOOK_EVERY, look)
                 return
             site.die()
@@ -228,11 +228,11 @@
         """News takes `factor` seconds longer."""
         by = int(incident.factor * 1e6)
         for site in self.stage.agent_sites:
-            site.agent.stale_by += by
+            site.agent.extra_delay += by
 
         def over() -> None:
             for site in self.stage.agent_sites:
-                site.agent.stale_by -= by
+                site.agent.extra_delay -= by
                 site.changed()
 
         self.later(until, over)
@@ -255,14 +255,14 @@
         for zone in zones:
             stage.links.cut_zone(zone, stage.host.now())
         for site in inside:
-            site.agent.stale_by += NEVER
+            site.agent.extra_delay += NEVER
         self.links()
 
         def over() -> None:
             for zone in zones:
                 stage.links.heal_zone(zone)
             for site in inside:
-                site.agent.stale_by -= NEVER
+                site.agent.extra_delay -= NEVER
                 site.changed()
             self.links()
 
--- a/locktide/simulation/interfaces.py
+++ b/locktide/simulation/interfaces.py
@@ -35,7 +35,7 @@
     dispatcher_machines: list[Machine]
     dispatcher_port: int
 
-    def body(self, ask: ClientRequest) -> bytes: ...
+    def body(self, request: ClientRequest) -> bytes: ...
 
 
 class ClientContext(RunContext, Protocol):
@@ -46,7 +46,7 @@
     def links_changed_at(self) -> int:
         """When a link was last cut or made whole, in microseconds."""
 
-    def waits(self, ask: ClientRequest) -> None: ...
+    def waits(self, request: ClientRequest) -> None: ...
 
 
 class WorkerContext(RunContext, Protocol):
@@ -62,7 +62,7 @@
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]: ...
 
-    def audible(self, came: ReceivedAttempt) -> bool: ...
+    def could_have_ended(self, came: ReceivedAttempt) -> bool: ...
 
     def held_back(self, one: Machine, other: Machine, came_at: int) -> int | None: ...
 
--- a/locktide/simulation/model/__init__.py
+++ b/locktide/simulation/model/__init__.py
@@ -1,6 +1,7 @@
-"""The model of the fleets that locktide serves: workers, roster, clients, front, links, and a checker that
-sees all.
+"""Model of the fleet around the dispatchers: workers, discovery service, clients, load balancer, network
+links, and the checker that observes all of them.
 
-State machines and sums, with no socket and no clock: the time comes as an argument in whole microseconds,
-chance from seeds. `locktide.simulation` drives them, on loopback or in virtual time.
+The model consists of state machines and calculations, without sockets or clocks: the time is an argument in
+whole microseconds, random numbers come from seeds. `locktide.simulation` drives the model, on loopback or in
+virtual time.
 """
--- a/locktide/simulation/model/checker.py
+++ b/locktide/simulation/model/checker.py
@@ -1,8 +1,8 @@
-"""Sees every side of a rehearsal and counts where a dispatcher has broken one of the four rules.
+"""Checker: observes workers, clients and discovery in a run, and counts violations of the dispatchers' rules.
 
-It knows nothing of the dispatchers' own records: it goes by what reached workers, what clients got, what the
-roster told and what had an effect. Where the moment of a send is not seen, the earliest that the link allows
-is taken.
+The checker uses no records of the dispatchers: its input is the attempts that reached workers, the responses
+that clients received, the endpoint lists that dispatchers were sent, and the effects of jobs. The time at
+which an attempt was sent is not observed; the earliest that the link allows is assumed.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from locktide.simulation.model.traffic import RequestTry
 from locktide.simulation.model.worker import ColdLoadSample
 
-# How a dispatch stands, as its dispatcher can know it.
+# State of an attempt, as far as its dispatcher can know it.
 IN_FLIGHT, NEVER_EXECUTED, POSSIBLY_EXECUTED, GIVEN_UP = "out", "never ran", "may have run", "given up"
-MAX_REPORTED = 200  # breaches kept with their words; the counts go on
+MAX_REPORTED = 200  # violations kept with their texts; later ones are only counted
 
 
 @dataclass(slots=True)
 class ReceivedAttempt:
-    """A dispatch that reached a worker whole."""
+    """An attempt that reached a worker completely."""
 
     worker: int
     pod: int
     dispatcher: int
     at: int
-    sent_at: int  # at the earliest
-    held_back: bool = False  # by a cut link: when it was sent is not known
-    stands: str = IN_FLIGHT
-    accepted_at: int | None = None  # when its 202 went out, where no cut link can have held that back
+    sent_at: int  # the earliest possible time
+    held_back: bool = False  # by a cut link, so that the time of sending is unknown
+    state: str = IN_FLIGHT
+    accepted_at: int | None = None  # when its 202 was sent, unless a cut link may have held that back
 
 
 @dataclass(slots=True)
@@ -42,15 +42,15 @@
 
 @dataclass
 class CheckerConfig:
-    """What counts, in microseconds."""
+    """Tolerances of the rules, in microseconds."""
 
-    slack: int = 50_000  # a final answer counts that much past the time limit, as on the platform
+    slack: int = 50_000  # a response this long after the time limit is still in time, as on the platform
     drain_grace: int = 250_000
-    memory: dict[str, int] = field(default_factory=dict)  # of numbered grades: how long a pod drops a repeat
+    memory: dict[str, int] = field(default_factory=dict)  # deduplication windows by numbered service class
 
 
 RULES = ("lost", "late", "extra", "forged", "after", "doubled", "copies", "drain", "pushed", "strays")
-BLAMED = {
+RULE_MEANINGS = {
     "lost": "no final answer in time",
     "late": "a final answer after the time limit",
     "extra": "a second answer",
@@ -65,148 +65,173 @@
 
 
 class Checker:
-    def __init__(self, terms: CheckerConfig) -> None:
-        self.terms = terms
+    def __init__(self, config: CheckerConfig) -> None:
+        self.config = config
         self.counts = dict.fromkeys(RULES, 0)
-        self.breaches: list[Violation] = []
-        self.came: dict[str, list[ReceivedAttempt]] = {}
+        self.violations: list[Violation] = []
+        self.received: dict[str, list[ReceivedAttempt]] = {}
         self.results: dict[str, set[bytes]] = {}
-        self.ended: dict[str, tuple[int, str]] = {}  # the final answer that a client got
-        self.effects: dict[str, list[str]] = {}  # by the number of a job: the submissions that had an effect
+        self.ended: dict[str, tuple[int, str]] = {}  # time and status of the response to the client
+        self.effects: dict[str, list[str]] = {}  # the submissions that had an effect, by idempotency key
         self.excused: set[str] = set()  # held by a dispatcher when it was killed
-        self.counted = {"doubled records": 0, "fell over": 0}
+        self.other_counts = {"doubled records": 0, "fell over": 0}
 
-    def breach(self, at: int, rule: str, what: str) -> None:
+    def record_violation(self, at: int, rule: str, what: str) -> None:
         self.counts[rule] += 1
-        if len(self.breaches) < MAX_REPORTED:
-            self.breaches.append(Violation(at, rule, what))
+        if len(self.violations) < MAX_REPORTED:
+            self.violations.append(Violation(at, rule, what))
 
-    # --- dispatches
+    # --- attempts
 
     def reached(
         self,
-        tried: RequestTry,
+        submission: RequestTry,
         worker: int,
         pod: int,
         dispatcher: int,
         first_at: int,
         at: int,
-        told_at: int | None,
-        most_delay: int,
-        audible: Callable[[ReceivedAttempt], bool],
+        notified_at: int | None,
+        max_delay: int,
+        could_have_ended: Callable[[ReceivedAttempt], bool],
         cut_at: int | None = None,
     ) -> ReceivedAttempt:
-        """A dispatch came whole. `told_at`: when its dispatcher was told to send this worker nothing more;
-        `cut_at`: when the link was cut, where that has held it back.
+        """Check an attempt that has reached a worker completely.
+
+        `notified_at` is when its dispatcher was notified that the worker drains or is gone; `cut_at` is when
+        the link was cut, for an attempt held back by that; `could_have_ended` tells whether the dispatcher
+        could have ended an attempt in a way that both sides know.
         """
-        # A send is no earlier than the longest that the link may take before the first byte came.
-        came = ReceivedAttempt(worker, pod, dispatcher, at, first_at - most_delay, cut_at is not None)
+        # The attempt was sent at the earliest by the largest delay of the link before its first byte came.
+        received = ReceivedAttempt(worker, pod, dispatcher, at, first_at - max_delay, cut_at is not None)
         if cut_at is not None:
-            came.sent_at = min(came.sent_at, cut_at)
-        earlier = self.came.setdefault(tried.id, [])
-        grade, name = tried.ask.grade, f"{tried.id} ({tried.ask.grade.name}) at w{worker} by d{dispatcher}"
-        if told_at is not None and came.sent_at > told_at + self.terms.drain_grace:
-            late = (came.sent_at - told_at) / 1000
-            self.breach(at, "drain", f"{name}: sent {late:.0f} ms after the dispatcher was told")
-        if (final := self.ended.get(tried.id)) and came.sent_at > final[0]:
-            self.breach(
-                at, "after", f"{name}: sent {(came.sent_at - final[0]) / 1000:.0f} ms after '{final[1]}'"
+            received.sent_at = min(received.sent_at, cut_at)
+        earlier = self.received.setdefault(submission.id, [])
+        grade, name = (
+            submission.ask.grade,
+            f"{submission.id} ({submission.ask.grade.name}) at w{worker} by d{dispatcher}",
+        )
+        if notified_at is not None and received.sent_at > notified_at + self.config.drain_grace:
+            late = (received.sent_at - notified_at) / 1000
+            self.record_violation(at, "drain", f"{name}: sent {late:.0f} ms after the dispatcher was told")
+        if (final := self.ended.get(submission.id)) and received.sent_at > final[0]:
+            self.record_violation(
+                at, "after", f"{name}: sent {(received.sent_at - final[0]) / 1000:.0f} ms after '{final[1]}'"
             )
-        # What a cut link has held back was given up by closing its connection, and comes after what took its
-        # place: that one is no copy of it.
-        open_ones = [
-            one for one in earlier if one.stands == IN_FLIGHT and not came.held_back and audible(one)
+        # An attempt that a cut link has held back was cancelled by closing its connection, and arrives after
+        # the attempt that replaced it: the two are no concurrent copies.
+        in_flight = [
+            attempt
+            for attempt in earlier
+            if attempt.state == IN_FLIGHT and not received.held_back and could_have_ended(attempt)
         ]
-        if open_ones:
-            self.breach(at, "copies", f"{name}: still out at w{open_ones[0].worker}")
-        maybe = [one for one in earlier if one.stands != NEVER_EXECUTED]
-        if maybe and grade.effect == "at-most-once":
-            self.breach(at, "doubled", f"{name}: may have run at w{maybe[0].worker}")
-        elif maybe and grade.effect == "numbered":
-            if any(one.pod != pod for one in maybe):
-                self.breach(at, "doubled", f"{name}: may have run at w{maybe[0].worker}, of another pod")
-            elif came.sent_at - maybe[0].at > self.terms.memory[grade.name]:
-                self.breach(
-                    at, "doubled", f"{name}: may have run at w{maybe[0].worker}, past the memory span"
+        if in_flight:
+            self.record_violation(at, "copies", f"{name}: still out at w{in_flight[0].worker}")
+        possibly_executed = [attempt for attempt in earlier if attempt.state != NEVER_EXECUTED]
+        if possibly_executed and grade.effect == "at-most-once":
+            self.record_violation(at, "doubled", f"{name}: may have run at w{possibly_executed[0].worker}")
+        elif possibly_executed and grade.effect == "numbered":
+            if any(attempt.pod != pod for attempt in possibly_executed):
+                self.record_violation(
+                    at, "doubled", f"{name}: may have run at w{possibly_executed[0].worker}, of another pod"
+                )
+            elif received.sent_at - possibly_executed[0].at > self.config.memory[grade.name]:
+                self.record_violation(
+                    at,
+                    "doubled",
+                    f"{name}: may have run at w{possibly_executed[0].worker}, past the memory span",
                 )
-        earlier.append(came)
-        return came
+        earlier.append(received)
+        return received
 
-    def stray(self, at: int, what: str) -> None:
-        self.breach(at, "strays", what)
+    def record_stray(self, at: int, what: str) -> None:
+        self.record_violation(at, "strays", what)
 
     @staticmethod
-    def stands(came: ReceivedAttempt, how: str) -> None:
-        """The first word on a dispatch counts, but for what had been given up or was lost."""
-        if came.stands == IN_FLIGHT or how == NEVER_EXECUTED and came.stands == GIVEN_UP:
-            came.stands = how
+    def settle(received: ReceivedAttempt, how: str) -> None:
+        """Set the outcome of an attempt; the first one counts.
+
+        Only a cancelled attempt (GIVEN_UP) may still turn out never to have been executed.
+        """
+        if received.state == IN_FLIGHT or how == NEVER_EXECUTED and received.state == GIVEN_UP:
+            received.state = how
 
-    def made(self, id: str, result: bytes) -> None:
+    def record_result(self, id: str, result: bytes) -> None:
         self.results.setdefault(id, set()).add(result)
 
-    def effect(self, at: int, tried: RequestTry, came: ReceivedAttempt | None = None) -> None:
-        """A job has had its effect: it has started, and was no repeat that its pod drops. One that was sent
-        in time and held back by the network past its pod's memory is nobody's fault; the record is double all
-        the same.
+    def effect(self, at: int, submission: RequestTry, received: ReceivedAttempt | None = None) -> None:
+        """Check the effect of a job: it has started, and is no repeat that its pod drops.
+
+        A repeat that was sent in time, but held back by the network past the deduplication window, counts as
+        a doubled record, though not as a violation.
         """
-        if tried.ask.grade.effect == "reissuable":
+        if submission.ask.grade.effect == "reissuable":
             return
-        held = self.effects.setdefault(tried.ask.key, [])
+        held = self.effects.setdefault(submission.ask.key, [])
         if held:
-            # The client's own retry of what a killed dispatcher held is no fault of a dispatcher's.
-            blamed = not any(id in self.excused for id in held)
-            if blamed:
-                self.counted["doubled records"] += 1
-            if blamed and not (came is not None and came.held_back):
-                self.breach(at, "doubled", f"{tried.id} ({tried.ask.grade.name}): a second effect")
-        held.append(tried.id)
-
-    # --- answers
-
-    def answered(self, tried: RequestTry, now: int, status: int, body: bytes) -> None:
-        if tried.id in self.ended:
-            self.breach(now, "extra", f"{tried.id}: a second answer, {status}")
+            # A client's own retry of a request that a killed dispatcher held is no violation by a dispatcher.
+            is_counted = not any(id in self.excused for id in held)
+            if is_counted:
+                self.other_counts["doubled records"] += 1
+            if is_counted and not (received is not None and received.held_back):
+                self.record_violation(
+                    at, "doubled", f"{submission.id} ({submission.ask.grade.name}): a second effect"
+                )
+        held.append(submission.id)
+
+    # --- responses
+
+    def answered(self, submission: RequestTry, now: int, status: int, body: bytes) -> None:
+        if submission.id in self.ended:
+            self.record_violation(now, "extra", f"{submission.id}: a second answer, {status}")
             return
-        self.ended[tried.id] = (now, str(status))
-        if now > tried.limit_at + self.terms.slack:
-            over = (now - tried.limit_at) / 1000
-            what = f"{tried.id} ({tried.ask.grade.name}): {status} {over:.0f} ms past the limit"
-            self.breach(now, "late", what)
-        if status == 200 and body not in self.results.get(tried.id, ()):
-            self.breach(now, "forged", f"{tried.id}: done with a result that no worker made")
-        if status in (429, 503) and tried.ask.grade.effect != "reissuable":
-            maybe = [one for one in self.came.get(tried.id, ()) if one.stands != NEVER_EXECUTED]
-            if maybe:
-                self.breach(now, "doubled", f"{tried.id}: denied, but may have run at w{maybe[0].worker}")
-
-    def unanswered(self, tried: RequestTry, now: int, how: str) -> None:
-        """The client has stopped waiting, or its connection was ended with no whole answer."""
-        if tried.id not in self.ended and tried.id not in self.excused:
-            what = f"{tried.id} ({tried.ask.grade.name}) at d{tried.dispatcher}: {how}"
-            self.breach(now, "lost", what)
-        self.ended.setdefault(tried.id, (now, how))
-
-    def closed(self, tried: RequestTry, now: int) -> None:
-        """The client has gone away by itself: nothing is owed to it."""
-        self.ended.setdefault(tried.id, (now, traffic.CLOSED))
+        self.ended[submission.id] = (now, str(status))
+        if now > submission.limit_at + self.config.slack:
+            over = (now - submission.limit_at) / 1000
+            what = f"{submission.id} ({submission.ask.grade.name}): {status} {over:.0f} ms past the limit"
+            self.record_violation(now, "late", what)
+        if status == 200 and body not in self.results.get(submission.id, ()):
+            self.record_violation(now, "forged", f"{submission.id}: done with a result that no worker made")
+        if status in (429, 503) and submission.ask.grade.effect != "reissuable":
+            possibly_executed = [
+                attempt for attempt in self.received.get(submission.id, ()) if attempt.state != NEVER_EXECUTED
+            ]
+            if possibly_executed:
+                self.record_violation(
+                    now,
+                    "doubled",
+                    f"{submission.id}: denied, but may have run at w{possibly_executed[0].worker}",
+                )
+
+    def unanswered(self, submission: RequestTry, now: int, how: str) -> None:
+        """Record that a client stopped waiting, or that its connection ended without a complete response."""
+        if submission.id not in self.ended and submission.id not in self.excused:
+            what = f"{submission.id} ({submission.ask.grade.name}) at d{submission.dispatcher}: {how}"
+            self.record_violation(now, "lost", what)
+        self.ended.setdefault(submission.id, (now, how))
+
+    def closed(self, submission: RequestTry, now: int) -> None:
+        """Record that the client itself has disconnected, so that no response is required."""
+        self.ended.setdefault(submission.id, (now, traffic.CLOSED))
 
     def killed(self, held: list[RequestTry]) -> None:
-        """What a killed dispatcher held is the client's to retry."""
-        self.excused.update(tried.id for tried in held)
+        """Excuse the submissions that a killed dispatcher held: their clients have to retry them."""
+        self.excused.update(submission.id for submission in held)
 
     # --- cold workers
 
     def pushed_over(
-        self, now: int, worker: int, sent: list[ColdLoadSample], told: Callable[[int, int], bool]
+        self, now: int, worker: int, sent: list[ColdLoadSample], was_notified: Callable[[int, int], bool]
     ) -> None:
-        """A cold worker fell over. Blamed where two thirds of it came from dispatchers that knew of its
-        start.
+        """Record that a cold worker was crashed by overload.
+
+        This is a violation if two thirds of the work came from dispatchers that were notified of its start.
         """
-        self.counted["fell over"] += 1
-        whole = sum(one.work for one in sent)
-        knew = sum(one.work for one in sent if told(one.sender, one.at))
-        if knew >= whole * 2 / 3:
-            self.breach(now, "pushed", f"w{worker}: {whole / 1e6:.1f} s of work within the window")
+        self.other_counts["fell over"] += 1
+        total = sum(attempt.work for attempt in sent)
+        from_notified = sum(attempt.work for attempt in sent if was_notified(attempt.sender, attempt.at))
+        if from_notified >= total * 2 / 3:
+            self.record_violation(now, "pushed", f"w{worker}: {total / 1e6:.1f} s of work within the window")
 
     @property
     def broken(self) -> bool:
--- a/locktide/simulation/model/discovery.py
+++ b/locktide/simulation/model/discovery.py
@@ -1,5 +1,7 @@
-"""The worker list as each dispatcher's agent has it: late, stale, silent; whole, or in changes;
-pushed, or asked for at one service that all share.
+"""Model of the discovery service: an agent per dispatcher with its own, possibly outdated, endpoint list.
+
+An agent answers with the complete list or with changes, and may be stale or silent. The list is pushed to the
+agents, or each call is served by one service that all of them share.
 """
 
 from __future__ import annotations
@@ -20,63 +22,63 @@
     pod: int
     state: str = ACTIVE
     rating: float = 1.0
-    boot_at: int = 0  # Unix microseconds of its last start, 0 for long ago
+    boot_at: int = 0  # Unix microseconds of the last start, 0 for a start before the run
 
 
 @dataclass(slots=True, order=True)
 class PendingChange:
-    due_at: int  # when the agent has it
+    due_at: int  # when the change reaches the agent
     version: int
     entry: ListedWorker = field(compare=False)
 
 
 class CallCapacity:
-    """The one service behind all agents, where the list must be asked for: it takes calls in turn.
+    """The one service behind all agents if the list has to be polled; it serves calls one after another.
 
-    Each costs `work` microseconds, also one that has waited `longest` and was turned away.
+    Each call takes `work` microseconds of it, even one that is rejected after `max_wait` microseconds.
     """
 
-    def __init__(self, work: int, longest: int) -> None:
-        self.work, self.longest = work, longest
-        self.busy_until = self.taken = 0
+    def __init__(self, work: int, max_wait: int) -> None:
+        self.work, self.max_wait = work, max_wait
+        self.busy_until = self.call_count = 0
 
     def call(self, now: int) -> tuple[int, bool]:
-        """When the answer comes, and whether it is the list."""
-        self.taken += 1
+        """Return when the call is answered, and whether with the list instead of a rejection."""
+        self.call_count += 1
         self.busy_until = max(now, self.busy_until) + self.work
-        return min(self.busy_until, now + self.longest), self.busy_until <= now + self.longest
+        return min(self.busy_until, now + self.max_wait), self.busy_until <= now + self.max_wait
 
 
 class DiscoveryAgent:
-    """The list on one dispatcher's machine. Answers come at once, from what has reached it."""
+    """The agent on one dispatcher's machine; it answers at once, from the changes that have reached it."""
 
     def __init__(self, entries: list[ListedWorker]) -> None:
         self.entries = {entry.number: entry for entry in entries}
-        self.versions = dict.fromkeys(self.entries, 1)  # when each entry last changed
+        self.versions = dict.fromkeys(self.entries, 1)  # version of the last change, by worker
         self.version = 1
-        self.coming: list[PendingChange] = []
+        self.pending: list[PendingChange] = []
         self.silent = False
-        self.stale_by = 0
-        self.told: dict[tuple[int, str, int], int] = {}  # (worker, state, start) -> when it was told
-        self.last: dict[int, tuple[int, str, int]] = dict.fromkeys(self.entries, (-1, "", 0))
+        self.extra_delay = 0
+        self.notified_at: dict[tuple[int, str, int], int] = {}  # (worker, state, start) -> first notification
+        self.last_notified: dict[int, tuple[int, str, int]] = dict.fromkeys(self.entries, (-1, "", 0))
         for entry in entries:
-            self.note(entry, 0)
+            self.record_notified(entry, 0)
 
-    def note(self, entry: ListedWorker, now: int) -> None:
-        """Told: when each state was first told, and which was told last."""
-        what = (entry.number, entry.state, entry.boot_at)
-        self.told.setdefault(what, now)
-        if self.last[entry.number] != what:
-            self.last[entry.number] = what
+    def record_notified(self, entry: ListedWorker, now: int) -> None:
+        """Record when the dispatcher is first notified of each state, and which state is the last one."""
+        state_key = (entry.number, entry.state, entry.boot_at)
+        self.notified_at.setdefault(state_key, now)
+        if self.last_notified[entry.number] != state_key:
+            self.last_notified[entry.number] = state_key
 
     def change(self, due_at: int, entry: ListedWorker) -> None:
-        insort(self.coming, PendingChange(due_at, len(self.coming), entry))
+        insort(self.pending, PendingChange(due_at, len(self.pending), entry))
 
     def advance(self, now: int) -> bool:
-        """Takes in what has reached it; whether that was anything."""
+        """Apply the changes that have reached the agent; return whether there were any."""
         before = self.version
-        while self.coming and self.coming[0].due_at + self.stale_by <= now:
-            entry = self.coming.pop(0).entry
+        while self.pending and self.pending[0].due_at + self.extra_delay <= now:
+            entry = self.pending.pop(0).entry
             old = self.entries[entry.number]
             if (entry.state, entry.boot_at) == (old.state, old.boot_at) or entry.boot_at < old.boot_at:
                 continue
@@ -85,27 +87,28 @@
         return self.version > before
 
     def next_at(self) -> int | None:
-        return self.coming[0].due_at + self.stale_by if self.coming else None
+        return self.pending[0].due_at + self.extra_delay if self.pending else None
 
     def answer(self, now: int, after: int | None, whole: bool, endpoint: Any) -> dict[str, Any] | None:
-        """The JSON of an answer as of now; `endpoint` gives a worker's address by its number. Notes it as
-        told.
+        """Return the JSON of an answer, and record that the dispatcher is notified of its contents.
+
+        `after` is the version that the dispatcher has; `endpoint` returns a worker's address by its number.
         """
-        everything = after is None or whole or after > self.version
-        chosen = [
+        is_complete = after is None or whole or after > self.version
+        listed = [
             entry
             for entry in self.entries.values()
             if entry.state != LEFT
-            and everything
-            or not everything
+            and is_complete
+            or not is_complete
             and after is not None
             and self.versions[entry.number] > after
         ]
-        for entry in self.entries.values() if everything else chosen:
-            self.note(entry, now)
+        for entry in self.entries.values() if is_complete else listed:
+            self.record_notified(entry, now)
         return {
             "rev": self.version,
-            "all": everything,
+            "all": is_complete,
             "targets": [
                 {
                     "uid": entry.uid,
@@ -117,20 +120,20 @@
                     "capacity_hint": entry.rating,
                     "boot_ms": entry.boot_at / 1000 if entry.boot_at else 0,
                 }
-                for entry in chosen
+                for entry in listed
             ],
         }
 
-    def drain_told_at(self, number: int) -> int | None:
-        """When its dispatcher was told that the worker drains or is gone, where that is the last it was told.
+    def drain_notified_at(self, number: int) -> int | None:
+        """Return when the dispatcher was notified that the worker drains or is gone.
 
-        Of a worker that first drained and then left it is the earlier of the two.
+        None if its last notification is another one; the earlier one if it drained and then left.
         """
-        _, state, boot_at = self.last[number]
+        _, state, boot_at = self.last_notified[number]
         if state == ACTIVE:
             return None
-        known = (self.told_at(number, one, boot_at) for one in (LEAVING, LEFT))
-        return min(at for at in known if at is not None)
+        times = (self.told_at(number, gone_state, boot_at) for gone_state in (LEAVING, LEFT))
+        return min(at for at in times if at is not None)
 
     def told_at(self, number: int, state: str, boot_at: int) -> int | None:
-        return self.told.get((number, state, boot_at))
+        return self.notified_at.get((number, state, boot_at))
--- a/locktide/simulation/model/network.py
+++ b/locktide/simulation/model/network.py
@@ -1,4 +1,4 @@
-"""The links between machines: how long bytes take, and which links are cut."""
+"""Network links between machines: their delays, and which of them are cut."""
 
 from __future__ import annotations
 
@@ -19,66 +19,67 @@
 
 
 class NetworkLinks:
-    """Delays in whole microseconds. A cut machine or zone lets nothing through, and says nothing."""
+    """All links, with delays in whole microseconds; nothing passes a cut link, and no end is notified."""
 
     def __init__(self, terms: NetworkSpec, seed: int) -> None:
-        self.terms, self.seed, self.drawn = terms, seed, 0
-        self.cut_machines: dict[Machine, int] = {}  # how many incidents hold it cut
+        self.config, self.seed, self.draw_count = terms, seed, 0
+        self.cut_machines: dict[Machine, int] = {}  # number of faults that cut the machine now
         self.cut_zones: dict[int, int] = {}
-        self.cut_since: dict[Machine | int, int] = {}  # when each was last cut, by machine or zone
+        self.cut_since: dict[Machine | int, int] = {}  # time of the last cut, by machine or zone
 
-    def base(self, one: Machine, other: Machine) -> int:
-        """Without jitter."""
-        if CLIENT in (one.kind, other.kind):
-            return int(self.terms.client * 1e6)
-        return int((self.terms.same if one.zone == other.zone else self.terms.cross) * 1e6)
+    def base_delay(self, source: Machine, target: Machine) -> int:
+        """Return the delay without jitter."""
+        if CLIENT in (source.kind, target.kind):
+            return int(self.config.client * 1e6)
+        return int((self.config.same if source.zone == target.zone else self.config.cross) * 1e6)
 
-    def most(self, one: Machine, other: Machine) -> int:
-        return int(self.base(one, other) * (1.0 + self.terms.jitter))
+    def max_delay(self, source: Machine, target: Machine) -> int:
+        return int(self.base_delay(source, target) * (1.0 + self.config.jitter))
 
-    def delay(self, one: Machine, other: Machine) -> int:
-        """For the next bytes that way."""
-        self.drawn += 1
+    def delay(self, source: Machine, target: Machine) -> int:
+        """Draw the delay of the next bytes from source to target."""
+        self.draw_count += 1
         return int(
-            self.base(one, other) * (1.0 + self.terms.jitter * chance.unit(self.seed, "delay", self.drawn))
+            self.base_delay(source, target)
+            * (1.0 + self.config.jitter * chance.unit(self.seed, "delay", self.draw_count))
         )
 
     def split(self, size: int) -> int:
-        """At which byte the next write is cut in two; 0 where it is not."""
-        self.drawn += 1
-        odds = self.terms.shred
-        if size < 2 or not odds or chance.unit(self.seed, "shred", self.drawn) >= odds:
+        """Draw the byte at which the next write is split in two; 0 for a write that stays whole."""
+        self.draw_count += 1
+        probability = self.config.shred
+        if size < 2 or not probability or chance.unit(self.seed, "shred", self.draw_count) >= probability:
             return 0
-        return 1 + int(chance.unit(self.seed, "place", self.drawn) * (size - 1))
+        return 1 + int(chance.unit(self.seed, "place", self.draw_count) * (size - 1))
 
-    def cut(self, one: Machine, other: Machine) -> bool:
-        if one in self.cut_machines or other in self.cut_machines:
+    def cut(self, source: Machine, target: Machine) -> bool:
+        if source in self.cut_machines or target in self.cut_machines:
             return True
-        return one.zone != other.zone and (one.zone in self.cut_zones or other.zone in self.cut_zones)
+        return source.zone != target.zone and (source.zone in self.cut_zones or target.zone in self.cut_zones)
 
     @staticmethod
-    def _count(book: dict[Any, int], what: Any, by: int) -> None:
-        book[what] = book.get(what, 0) + by
-        if not book[what]:
-            del book[what]
-
-    def held_since(self, one: Machine, other: Machine) -> int | None:
-        """When the link between them was last cut, if it ever was; it may be whole again."""
-        found = [self.cut_since[end] for end in (one, other) if end in self.cut_since]
-        if one.zone != other.zone:
-            found += [self.cut_since[end.zone] for end in (one, other) if end.zone in self.cut_since]
-        return max(found, default=None)
+    def _add(counts: dict[Any, int], key: Any, change: int) -> None:
+        counts[key] = counts.get(key, 0) + change
+        if not counts[key]:
+            del counts[key]
+
+    def last_cut_at(self, source: Machine, target: Machine) -> int | None:
+        """Return when the link was last cut, None if never; it may have been restored since."""
+        cut_times = [self.cut_since[end] for end in (source, target) if end in self.cut_since]
+        if source.zone != target.zone:
+            cut_times += [self.cut_since[end.zone] for end in (source, target) if end.zone in self.cut_since]
+        return max(cut_times, default=None)
 
     def cut_machine(self, machine: Machine, now: int) -> None:
         self.cut_since[machine] = now
-        self._count(self.cut_machines, machine, 1)
+        self._add(self.cut_machines, machine, 1)
 
     def heal_machine(self, machine: Machine) -> None:
-        self._count(self.cut_machines, machine, -1)
+        self._add(self.cut_machines, machine, -1)
 
     def cut_zone(self, zone: int, now: int) -> None:
         self.cut_since[zone] = now
-        self._count(self.cut_zones, zone, 1)
+        self._add(self.cut_zones, zone, 1)
 
     def heal_zone(self, zone: int) -> None:
-        self._count(self.cut_zones, zone, -1)
+        self._add(self.cut_zones, zone, -1)
--- a/locktide/simulation/model/random_scenario.py
+++ b/locktide/simulation/model/random_scenario.py
@@ -1,4 +1,4 @@
-"""Rough days by the dozen: a script for each seed, with a fleet, traffic and incidents drawn at random."""
+"""Random scenarios: for each seed one with a random fleet, random traffic and random faults."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 )
 
 MAX_FAULTS = 5
-FATAL_FAULTS = 5  # of dispatchers on a durable day: so many leave time to recover between them
-LENGTH = 16.0  # seconds: long enough for a return from cold, short enough for a thousand of them
+FATAL_FAULTS = 5  # of dispatchers with durable jobs; few enough to leave time for recovery in between
+LENGTH = 16.0  # seconds: long enough for a worker to warm up again, short enough for a thousand runs
 
 
-def one_of(rng: Generator, choices: Any) -> Any:
+def pick(rng: Generator, choices: Any) -> Any:
     return choices[int(rng.integers(len(choices)))]
 
 
-def incident(rng: Generator, fleet: FleetSpec, length: float, durable: bool) -> FaultSpec:
-    # Dispatchers of a drawn day do not talk to each other.
+def draw_fault(rng: Generator, fleet: FleetSpec, length: float, durable: bool) -> FaultSpec:
+    # Dispatchers of a random scenario form no cluster.
     kinds = [what for what in get_args(FaultKind) if not what.startswith("talk-")]
     kinds = [what for what in kinds if durable or what != "trap-dispatcher"]
-    what = one_of(rng, kinds)
+    what = pick(rng, kinds)
     points = [
         point
         for point in get_args(CrashPoint)
@@ -49,7 +49,7 @@
     elif what == "partition":
         whom = f"zone{int(rng.integers(fleet.zones))}"
     else:
-        whom = one_of(rng, ["25%", "40%", f"w{int(rng.integers(fleet.workers))}"])
+        whom = pick(rng, ["25%", "40%", f"w{int(rng.integers(fleet.workers))}"])
     span = float(rng.uniform(0.3, 6.0))
     if what in ("pause", "hang"):
         span = float(rng.uniform(0.1, 4.0))
@@ -60,27 +60,28 @@
         whom=whom,
         factor=float(rng.uniform(1.3, 6.0)),
         share=float(rng.uniform(0.01, 0.3)),
-        gap=one_of(rng, [0.0, 0.0, 0.7]),
+        gap=pick(rng, [0.0, 0.0, 0.7]),
         spread=float(rng.uniform(0, 1)),
-        point=one_of(rng, points),
+        point=pick(rng, points),
     )
 
 
 def draw_fatal_fault(rng: Generator, fleet: FleetSpec, length: float) -> FaultSpec:
-    """Of a dispatcher: at a drawn moment, or at a point that is named."""
+    """Draw a fault that kills a dispatcher, at a random time or at a crash point."""
     points = [point for point in get_args(CrashPoint) if point not in WORKER_CRASH_POINTS]
     return FaultSpec(
         at=float(rng.uniform(0.3, length - 1)),
         length=float(rng.uniform(0.2, 2.0)),
-        what=one_of(rng, ["kill-dispatcher", "trap-dispatcher", "trap-dispatcher"]),
+        what=pick(rng, ["kill-dispatcher", "trap-dispatcher", "trap-dispatcher"]),
         whom=f"d{int(rng.integers(fleet.dispatchers))}",
-        point=one_of(rng, points),
+        point=pick(rng, points),
     )
 
 
 def draw(seed: int, durable: bool = False) -> Scenario:
-    """The same script for the same seed, on every machine. With durable jobs: dispatchers die more often than
-    anything else does, at any moment and at each point that is named.
+    """Draw the scenario of a seed; it is the same on every machine.
+
+    With durable jobs, dispatchers crash more often than anything else, at any time and at each crash point.
     """
     rng = chance.stream(seed, "rough", "durable" if durable else "plain")
     fleet = FleetSpec(
@@ -93,8 +94,8 @@
             WorkerTypeSpec(name="old", cores=2, speed=0.6),
         ],
     )
-    work = float(rng.uniform(0.5, 1.5))  # so that a thousand days stay short
-    grades = [
+    work = float(rng.uniform(0.5, 1.5))  # short, so that a thousand runs take little time
+    service_classes = [
         ServiceClassSpec(name="view", work=0.3, limit=4.0, effect="reissuable"),
         ServiceClassSpec(
             name="record",
@@ -115,7 +116,7 @@
             seed=seed,
             length=LENGTH,
             fleet=fleet,
-            grade=grades,
+            grade=service_classes,
             worker=WorkerSpec(
                 cold_for=float(rng.uniform(1, 8)),
                 cold_from=float(rng.uniform(0.15, 0.6)),
@@ -124,9 +125,9 @@
                 error_rate=float(rng.uniform(0, 0.05)),
                 idle_close=float(rng.uniform(1, 20)),
                 queue=int(rng.integers(1, 9)),
-                cancels=one_of(rng, ["none", "queued", "running"]),
+                cancels=pick(rng, ["none", "queued", "running"]),
                 hands_back=bool(rng.integers(2)),
-                progress=one_of(rng, [0.0, 0.5, 1.0]),
+                progress=pick(rng, [0.0, 0.5, 1.0]),
             ),
             roster=DiscoverySpec(
                 notice=float(rng.uniform(0.1, 3)), add=float(rng.uniform(0.1, 2)), whole=0.2
@@ -149,7 +150,7 @@
                 segment_kb=float(rng.uniform(4, 60)),
                 zeros=0.4,
             ),
-            incident=[incident(rng, fleet, LENGTH, durable) for _ in range(count)]
+            incident=[draw_fault(rng, fleet, LENGTH, durable) for _ in range(count)]
             + [draw_fatal_fault(rng, fleet, LENGTH) for _ in range(FATAL_FAULTS if durable else 0)],
         )
     )
--- a/locktide/simulation/model/traffic.py
+++ b/locktide/simulation/model/traffic.py
@@ -1,4 +1,4 @@
-"""The clients: what is asked for and when, drawn before the rehearsal, and how each job is tried again."""
+"""Traffic of the clients: their requests, drawn before the run, their retries, and the load balancer."""
 
 from __future__ import annotations
 
@@ -21,27 +21,29 @@
     "closed early",
 )
 
-DRAWN = frozenset(("surge", "heavy", "retry-storm"))  # incidents that are in the traffic itself
+TRAFFIC_FAULTS = frozenset(
+    ("surge", "heavy", "retry-storm")
+)  # faults that act on the drawn traffic, not by a timer
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One job that a client wants done, over all its tries."""
+    """One request of a client, over all its submissions."""
 
     number: int
-    at: int  # of its first try
+    at: int  # of the first submission
     grade: ServiceClassSpec
     work: int
     width: int
     zone: int
     retries: int
     honours: bool
-    closes_after: int  # of each try; 0 for a client that waits
-    key: str  # the number of a numbered one
+    closes_after: int  # how long after each submission the client disconnects; 0 for one that waits
+    key: str  # the idempotency key of a numbered request
     tenant: str = ""
-    home: int = -1  # the dispatcher that its tenant's clients prefer
+    home: int = -1  # the dispatcher that the tenant's clients prefer
     tries: list[RequestTry] = field(default_factory=list)
-    answered_at: int = 0  # when it was done, 0 while it is not
+    answered_at: int = 0  # when its successful response came, 0 without one
 
     @property
     def soft_limit(self) -> int:
@@ -56,7 +58,7 @@
         return self.grade.revenue * self.work * self.width / 1e6
 
     def earned(self) -> float:
-        """Counted from the first second: a retry is part of its first try."""
+        """Return the revenue earned; the response time counts from the first submission, over all retries."""
         if not self.answered_at:
             return 0.0
         return self.revenue * (1.0 if self.answered_at - self.at <= self.soft_limit else self.grade.late)
@@ -64,7 +66,7 @@
 
 @dataclass(slots=True)
 class RequestTry:
-    """One submission: it has an id of its own, also a retry."""
+    """One submission of a request; each retry is a submission with an id of its own."""
 
     id: str
     ask: ClientRequest
@@ -80,125 +82,132 @@
         return self.sent_at + self.ask.limit
 
 
-def capacity(script: Scenario) -> float:
-    """What the warm fleet can do: seconds of work a second."""
-    return sum(kind.cores * kind.speed for kind in assign_worker_types(script))
+def capacity(scenario: Scenario) -> float:
+    """Return the capacity of the warm fleet, in seconds of work per second."""
+    return sum(kind.cores * kind.speed for kind in assign_worker_types(scenario))
 
 
-def draw_requests(script: Scenario) -> list[ClientRequest]:
-    """All that will be asked for, oldest first, the same for the same script and seed on every host."""
-    rng = chance.stream(script.seed, "traffic")
-    shares = np.array([grade.share for grade in script.grade])
+def draw_requests(scenario: Scenario) -> list[ClientRequest]:
+    """Draw all requests, oldest first; the same for the same scenario and seed on every host."""
+    rng = chance.stream(scenario.seed, "traffic")
+    shares = np.array([service_class.share for service_class in scenario.grade])
     shares = shares / shares.sum()
     mean = float(
-        sum(share * g.work * (g.width + 1) / 2 for share, g in zip(shares, script.grade, strict=True))
+        sum(share * g.work * (g.width + 1) / 2 for share, g in zip(shares, scenario.grade, strict=True))
     )
-    usual = script.clients.load * capacity(script) / mean
-    surges = [one for one in script.incident if one.what in ("surge", "retry-storm")]
-    heavies = [one for one in script.incident if one.what == "heavy"]
+    base_rate = scenario.clients.load * capacity(scenario) / mean
+    surges = [fault for fault in scenario.incident if fault.what in ("surge", "retry-storm")]
+    heavy_faults = [fault for fault in scenario.incident if fault.what == "heavy"]
 
     def rate(at: float) -> float:
-        rate = usual
-        for one in surges:
-            if one.at <= at < one.at + one.length:
-                rate *= one.factor
+        rate = base_rate
+        for fault in surges:
+            if fault.at <= at < fault.at + fault.length:
+                rate *= fault.factor
         return rate
 
-    most = usual
-    for one in surges:
-        most *= max(1.0, one.factor)
-    asks: list[ClientRequest] = []
+    peak_rate = base_rate
+    for fault in surges:
+        peak_rate *= max(1.0, fault.factor)
+    requests: list[ClientRequest] = []
     at = 0.0
     while True:
-        # Thinning (Lewis and Shedler 1979): drawn at the highest rate, kept by the rate of the moment.
-        at += float(rng.exponential(1.0 / most))
-        if at >= script.length:
-            return tenants.assign_tenants(script, asks)
-        kept = rng.random() * most < rate(at)
-        grade = script.grade[int(rng.choice(len(shares), p=shares))]
-        work = grade.work * float(np.exp(rng.normal(-(grade.sigma**2) / 2, grade.sigma)))
-        width = int(rng.integers(1, grade.width + 1))
-        zone = int(rng.integers(script.fleet.zones))
-        dice = rng.random(4)
-        if not kept:
+        # Thinning (Lewis and Shedler 1979): arrivals are drawn at the peak rate, and kept with a probability
+        # of the current rate over the peak rate.
+        at += float(rng.exponential(1.0 / peak_rate))
+        if at >= scenario.length:
+            return tenants.assign_tenants(scenario, requests)
+        is_kept = rng.random() * peak_rate < rate(at)
+        service_class = scenario.grade[int(rng.choice(len(shares), p=shares))]
+        work = service_class.work * float(
+            np.exp(rng.normal(-(service_class.sigma**2) / 2, service_class.sigma))
+        )
+        width = int(rng.integers(1, service_class.width + 1))
+        zone = int(rng.integers(scenario.fleet.zones))
+        draws = rng.random(4)
+        if not is_kept:
             continue
-        for one in heavies:
-            if one.at <= at < one.at + one.length and dice[3] < one.share:
-                work *= one.factor
-        whole = int(script.clients.retries)
-        retries = whole + (dice[0] < script.clients.retries - whole)
-        storm = any(one.at <= at < one.at + one.length for one in surges if one.what == "retry-storm")
-        patience = dice[2] / script.clients.impatient if script.clients.impatient else 2.0
-        number = len(asks)
-        asks.append(
+        for fault in heavy_faults:
+            if fault.at <= at < fault.at + fault.length and draws[3] < fault.share:
+                work *= fault.factor
+        whole_retries = int(scenario.clients.retries)
+        retries = whole_retries + (draws[0] < scenario.clients.retries - whole_retries)
+        in_retry_storm = any(
+            fault.at <= at < fault.at + fault.length for fault in surges if fault.what == "retry-storm"
+        )
+        patience = draws[2] / scenario.clients.impatient if scenario.clients.impatient else 2.0
+        number = len(requests)
+        requests.append(
             ClientRequest(
                 number,
                 int(at * 1e6),
-                grade,
+                service_class,
                 max(1000, int(work * 1e6)),
                 width,
                 zone,
-                int(retries) + 2 * storm,
-                bool(dice[1] < script.clients.honours) and not storm,
-                int(grade.limit * 1e6 * patience) if patience < 1.0 else 0,
-                f"k{script.seed:x}-{number:x}",
+                int(retries) + 2 * in_retry_storm,
+                bool(draws[1] < scenario.clients.honours) and not in_retry_storm,
+                int(service_class.limit * 1e6 * patience) if patience < 1.0 else 0,
+                f"k{scenario.seed:x}-{number:x}",
             )
         )
 
 
-def retry_delay(ask: ClientRequest, last: RequestTry, script: Scenario) -> int | None:
-    """How long after the end of a try the next one goes out, in microseconds; None where there is none."""
-    if len(ask.tries) > ask.retries or last.ended in (ANSWERED, CLOSED, SILENT, LATE):
+def retry_delay(request: ClientRequest, last: RequestTry, scenario: Scenario) -> int | None:
+    """Return the microseconds from the end of a submission to the next one; None if there is no retry."""
+    if len(request.tries) > request.retries or last.ended in (ANSWERED, CLOSED, SILENT, LATE):
         return None
-    # What a dead dispatcher held may have run: without a memory that all workers share only what is
-    # reissuable is harmless to repeat then.
-    harmless = ask.grade.effect == "reissuable" or last.ended in (DENIED, REFUSED)
-    if not harmless:
+    # A request that a dead dispatcher held may have run: as no deduplication record is shared by all workers,
+    # only a reissuable one can be repeated safely then.
+    is_safe_to_repeat = request.grade.effect == "reissuable" or last.ended in (DENIED, REFUSED)
+    if not is_safe_to_repeat:
         return None
-    wait = int(script.clients.backoff * 1e6) << (len(ask.tries) - 1)
-    if last.advice and ask.honours:
+    wait = int(scenario.clients.backoff * 1e6) << (len(request.tries) - 1)
+    if last.advice and request.honours:
         wait = max(wait, last.advice)
-    if last.ended_at + wait >= ask.at + ask.limit:
+    if last.ended_at + wait >= request.at + request.limit:
         return None
     return wait
 
 
 class LoadBalancer:
-    """Deals the clients of a zone out among the dispatchers it takes to be alive; it notices a death late."""
+    """Distributes the clients of a zone over the dispatchers in service; it notices a crash after a delay."""
 
     def __init__(self, dispatchers: list[int], notice: int, seed: int, zone: int) -> None:
-        self.taken_in = dict.fromkeys(dispatchers, False)
-        self.leaves_at: dict[int, int] = {}
-        self.notice, self.seed, self.zone, self.dealt = notice, seed, zone, 0
+        self.in_service = dict.fromkeys(dispatchers, False)
+        self.removal_at: dict[int, int] = {}
+        self.notice, self.seed, self.zone, self.choice_count = notice, seed, zone, 0
 
-    def died(self, dispatcher: int, now: int) -> None:
-        if dispatcher in self.taken_in and self.taken_in[dispatcher]:
-            self.leaves_at.setdefault(dispatcher, now + self.notice)
+    def note_death(self, dispatcher: int, now: int) -> None:
+        if dispatcher in self.in_service and self.in_service[dispatcher]:
+            self.removal_at.setdefault(dispatcher, now + self.notice)
 
     def ready(self, dispatcher: int) -> None:
-        """It has answered that it is ready."""
-        if dispatcher in self.taken_in:
-            self.taken_in[dispatcher] = True
-            self.leaves_at.pop(dispatcher, None)
+        """Put a dispatcher in service that has answered a readiness check."""
+        if dispatcher in self.in_service:
+            self.in_service[dispatcher] = True
+            self.removal_at.pop(dispatcher, None)
 
-    def leaves(self, dispatcher: int) -> None:
-        """It is being stopped as planned: no new connection goes to it."""
-        if dispatcher in self.taken_in:
-            self.taken_in[dispatcher] = False
+    def remove(self, dispatcher: int) -> None:
+        """Take a dispatcher out of service in a planned stop: it gets no new connections."""
+        if dispatcher in self.in_service:
+            self.in_service[dispatcher] = False
 
     def advance(self, now: int) -> None:
-        for dispatcher, at in list(self.leaves_at.items()):
+        for dispatcher, at in list(self.removal_at.items()):
             if at <= now:
-                self.taken_in[dispatcher] = False
-                del self.leaves_at[dispatcher]
+                self.in_service[dispatcher] = False
+                del self.removal_at[dispatcher]
 
     def choose(self, now: int, home: int = -1) -> int | None:
-        """The dispatcher for a new submission, its home if that is taken in; None while none is."""
+        """Return the dispatcher for a new submission, its home if in service; None if none is in service."""
         self.advance(now)
-        if self.taken_in.get(home):
+        if self.in_service.get(home):
             return home
-        able = [dispatcher for dispatcher, good in self.taken_in.items() if good]
-        if not able:
+        in_service = [dispatcher for dispatcher, is_in_service in self.in_service.items() if is_in_service]
+        if not in_service:
             return None
-        self.dealt += 1
-        return able[int(chance.unit(self.seed, "front", self.zone, self.dealt) * len(able))]
+        self.choice_count += 1
+        return in_service[
+            int(chance.unit(self.seed, "front", self.zone, self.choice_count) * len(in_service))
+        ]
--- a/locktide/simulation/model/worker.py
+++ b/locktide/simulation/model/worker.py
@@ -1,9 +1,8 @@
-"""One worker: cores and a queue, warm-up from cold, pauses, slowdowns, drain, death, and what it tells of its
-jobs.
+"""Model of one worker: cores and a queue, warm-up, pauses, slowdowns, draining, crashes, and job reports.
 
-A state machine: `offer`, `withdraw` and the other calls bring it up to `now` and change it; `advance` gives
-what has come about since, in order; `next_at` says when something will. Times are whole microseconds; work is
-microseconds of one core at speed 1.
+The worker is a state machine: `offer`, `withdraw` and other methods change its state at `now`; `advance`
+returns the reports since the last call, in order; `next_at` returns when the next one is due. Times are
+whole microseconds; work is measured in microseconds of one core at speed 1.
 """
 
 from __future__ import annotations
@@ -19,25 +18,27 @@
 
 @dataclass(slots=True)
 class RunningJob:
-    """One dispatch as its worker has it."""
+    """One attempt, as its worker sees it."""
 
-    key: int  # of this dispatch, among all of a rehearsal
+    key: int  # of this attempt, unique in a run
     id: str  # of the submission
-    sender: int  # the dispatcher
+    sender: int  # number of the dispatcher
     work: int
     width: int
     fails: bool = False
     taken_at: int = 0
-    ends_at: float = 0.0  # of the worker's own count of work
-    begins_at: float = 0.0
-    told_at: int = 0  # when its progress was last told
-    seen: DeduplicationRecord | None = None  # of a numbered one: what its pod knew when it was taken
-    given_up: bool = False  # the dispatcher has withdrawn it: nothing more is told of it
+    ends_at: float = 0.0  # on the scale of EmulatedWorker.done
+    begins_at: float = 0.0  # the same
+    reported_at: int = 0  # time of the last progress report
+    seen: DeduplicationRecord | None = (
+        None  # for a numbered job: the record of its pod at the time of acceptance
+    )
+    given_up: bool = False  # cancelled by its dispatcher: nothing more is reported
 
 
 @dataclass(slots=True)
 class JobReport:
-    """What a worker has to tell of a job."""
+    """A report of a worker on a job, to be sent as a callback."""
 
     at: int
     job: RunningJob
@@ -47,7 +48,7 @@
 
 @dataclass(slots=True)
 class WorkerConfig:
-    """How one worker is made; spans in microseconds."""
+    """Properties of one worker; spans in microseconds."""
 
     cores: int
     speed: float
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True)
 class ColdLoadSample:
-    """Work that reached a worker while it was cold, for the rule on pushing one over."""
+    """Work that reached a worker while it was cold, for the rule on overloading a cold worker."""
 
     at: int
     work: float
@@ -71,55 +72,58 @@
 
 
 class EmulatedWorker:
-    def __init__(self, terms: WorkerConfig, now: int, cold: bool = False) -> None:
-        self.terms = terms
-        self.slow = self.shared = 1.0  # how many times slower, by itself and with all others
-        self.held_until = 0  # paused or hung till then
+    def __init__(self, config: WorkerConfig, now: int, cold: bool = False) -> None:
+        self.config = config
+        self.slow = self.shared = 1.0  # slowdown factors: of this worker, of all workers
+        self.held_until = 0  # paused or hanging until then
         self.draining = False
         self.start(now, cold)
 
     def start(self, now: int, cold: bool) -> None:
-        """A new process: it holds nothing and knows nothing."""
-        self.at, self.done = now, 0.0  # up to when it has worked, and how much work each busy core has done
-        self.begun_at = now if cold else now - self.terms.cold_for
+        """Start as a new process, without jobs or any other state."""
+        self.at, self.done = (
+            now,
+            0.0,
+        )  # time of the last update, and the work done by each busy core until then
+        self.started_at = now if cold else now - self.config.cold_for
         self.up, self.draining, self.held_until = True, False, 0
         self.queue: deque[RunningJob] = deque()
         self.jobs: dict[int, RunningJob] = {}  # running
-        self.free = self.terms.cores
-        self.reached: deque[ColdLoadSample] = deque()
+        self.free_cores = self.config.cores
+        self.cold_loads: deque[ColdLoadSample] = deque()
         self.words: list[JobReport] = []
 
-    # --- how fast it is
+    # --- speed
 
     def warmth(self, now: int) -> float:
-        """The part of its speed that it has, rising evenly from `cold_from` to 1."""
-        age, terms = now - self.begun_at, self.terms
-        if age >= terms.cold_for:
+        """Return the current part of the full speed, which rises linearly from `cold_from` to 1."""
+        age, config = now - self.started_at, self.config
+        if age >= config.cold_for:
             return 1.0
-        return terms.cold_from + (1.0 - terms.cold_from) * age / terms.cold_for
+        return config.cold_from + (1.0 - config.cold_from) * age / config.cold_for
 
-    def cold(self, now: int) -> bool:
-        return now - self.begun_at < self.terms.cold_for
+    def is_cold(self, now: int) -> bool:
+        return now - self.started_at < self.config.cold_for
 
     def pace(self) -> float:
-        return self.terms.speed / (self.slow * self.shared)
+        return self.config.speed / (self.slow * self.shared)
 
-    def worked(self, since: int, until: int) -> float:
-        """What one busy core does in that span: the integral of the pace, but for pauses."""
+    def work_between(self, since: int, until: int) -> float:
+        """Return the work that one busy core does in that span: the integral of its speed without pauses."""
         since = max(since, min(self.held_until, until))
-        warm_at = self.begun_at + self.terms.cold_for
+        warm_at = self.started_at + self.config.cold_for
         rising = max(0, min(until, warm_at) - since)
         amount = rising * (self.warmth(since) + self.warmth(since + rising)) / 2 if rising else 0.0
         return self.pace() * (amount + (until - since - rising))
 
-    def until_done(self, work: float) -> int:
-        """When one busy core will have done so much more, as things stand."""
+    def finish_time(self, work: float) -> int:
+        """Return when one busy core will have done so much more work if nothing changes meanwhile."""
         since = max(self.at, self.held_until)
         need = work / self.pace()
-        warm_at = self.begun_at + self.terms.cold_for
+        warm_at = self.started_at + self.config.cold_for
         if since < warm_at:
             level = self.warmth(since)
-            rise = (1.0 - self.terms.cold_from) / self.terms.cold_for
+            rise = (1.0 - self.config.cold_from) / self.config.cold_for
             whole = (warm_at - since) * (level + 1.0) / 2
             if need <= whole:
                 # level * t + rise * t^2 / 2 = need
@@ -134,29 +138,29 @@
     # --- time
 
     def next_at(self) -> int | None:
-        """When it next has something to tell; None while it has nothing to do."""
+        """Return when the next report is due; None for a worker with nothing to do."""
         if not self.up:
             return None
         if self.words:
             return self.at
-        moments = []
+        times = []
         if self.jobs:
             first = min(job.ends_at for job in self.jobs.values())
-            moments.append(self.until_done(first - self.done))
-            if self.terms.progress:
-                told = min(job.told_at for job in self.jobs.values()) + self.terms.progress
-                moments.append(max(told, self.held_until))
+            times.append(self.finish_time(first - self.done))
+            if self.config.progress:
+                report_due = min(job.reported_at for job in self.jobs.values()) + self.config.progress
+                times.append(max(report_due, self.held_until))
         elif self.queue:
-            moments.append(self.held_until)
-        return min(moments) if moments else None
+            times.append(self.held_until)
+        return min(times) if times else None
 
     def advance(self, now: int) -> list[JobReport]:
-        """Works up to `now`; what there is to tell of it, in order."""
+        """Work until `now`; return the reports in order."""
         if not self.up:
             return []
         while self.at < now and self.jobs:
             first = min(self.jobs.values(), key=lambda job: job.ends_at)
-            end = self.until_done(first.ends_at - self.done)
+            end = self.finish_time(first.ends_at - self.done)
             if end > now:
                 break
             self.done = first.ends_at
@@ -164,13 +168,13 @@
             self.finish(first)
         if self.at < now:
             if self.jobs:
-                self.done += self.worked(self.at, now)
+                self.done += self.work_between(self.at, now)
             self.at = now
-        self.fill()
-        if self.terms.progress and now >= self.held_until:
+        self.start_waiting_jobs()
+        if self.config.progress and now >= self.held_until:
             for job in self.jobs.values():
-                if now - job.told_at >= self.terms.progress:
-                    job.told_at = now
+                if now - job.reported_at >= self.config.progress:
+                    job.reported_at = now
                     self.words.append(JobReport(now, job, RUNNING, self.share(job)))
         words, self.words = self.words, []
         return words
@@ -180,48 +184,51 @@
 
     def finish(self, job: RunningJob) -> None:
         del self.jobs[job.key]
-        self.free += job.width
+        self.free_cores += job.width
         self.words.append(JobReport(self.at, job, FAILED if job.fails else DONE, 1.0))
-        self.fill()
+        self.start_waiting_jobs()
 
-    def fill(self) -> None:
-        """Starts waiting jobs in order; the first waits until it fits."""
+    def start_waiting_jobs(self) -> None:
+        """Start waiting jobs in order; while the first does not fit, those behind it wait too."""
         if self.at < self.held_until:
             return
-        while self.queue and self.queue[0].width <= self.free:
+        while self.queue and self.queue[0].width <= self.free_cores:
             job = self.queue.popleft()
-            self.free -= job.width
-            job.told_at = self.at
+            self.free_cores -= job.width
+            job.reported_at = self.at
             job.begins_at, job.ends_at = self.done, self.done + job.work
             self.jobs[job.key] = job
             self.words.append(JobReport(self.at, job, STARTED))
 
-    # --- what is asked of it
+    # --- requests of dispatchers, and faults
 
     def offer(self, now: int, job: RunningJob) -> str:
-        """TAKEN or FULL. The caller advances it before and after."""
-        if self.cold(now):
-            self.reached.append(ColdLoadSample(now, float(job.work * job.width), job.sender))
-        if self.draining or len(self.queue) >= self.terms.queue * self.terms.cores:
+        """Accept or reject a job: return TAKEN or FULL. The caller calls `advance` before and after."""
+        if self.is_cold(now):
+            self.cold_loads.append(ColdLoadSample(now, float(job.work * job.width), job.sender))
+        if self.draining or len(self.queue) >= self.config.queue * self.config.cores:
             return FULL
         job.taken_at = now
         self.queue.append(job)
         return TAKEN
 
     def withdraw(self, id: str, sender: int) -> list[RunningJob]:
-        """What that has stopped, of what the sender gave it; running work goes on unless `cancels` says
-        otherwise.
+        """Cancel the sender's attempts of that submission, and return those that are stopped by it.
+
+        Depending on `cancels`, running or even waiting attempts continue; no more is reported of any of them.
         """
-        asked = [job for job in (*self.queue, *self.jobs.values()) if job.id == id and job.sender == sender]
+        matching = [
+            job for job in (*self.queue, *self.jobs.values()) if job.id == id and job.sender == sender
+        ]
         stopped = []
-        for job in asked:
+        for job in matching:
             job.given_up = True
             if job.key in self.jobs:
-                if self.terms.cancels != "running":
+                if self.config.cancels != "running":
                     continue
                 del self.jobs[job.key]
-                self.free += job.width
-            elif self.terms.cancels == "none":
+                self.free_cores += job.width
+            elif self.config.cancels == "none":
                 continue
             else:
                 self.queue.remove(job)
@@ -229,72 +236,77 @@
         return stopped
 
     def hold(self, until: int) -> None:
-        """Stands still till then: a pause, or a hang that is as long as it lasts."""
+        """Do no work until then, in a pause or a hang."""
         self.held_until = max(self.held_until, until)
 
     def drain(self, now: int) -> list[JobReport]:
-        """Finishes what runs, takes nothing new; gives back what has not started, where it does that."""
+        """Accept no more jobs, and finish the running ones; with `hands_back`, return those not started."""
         self.draining = True
-        if not self.terms.hands_back:
+        if not self.config.hands_back:
             return []
         waiting, self.queue = list(self.queue), deque()
         return [JobReport(now, job, RETURNED) for job in waiting]
 
     def kill(self) -> list[RunningJob]:
-        """Dies with all it holds."""
+        """Crash; return the jobs that are lost."""
         lost = [*self.jobs.values(), *self.queue]
         self.up, self.jobs, self.queue, self.words = False, {}, deque(), []
         return lost
 
-    def holds(self) -> int:
+    def job_count(self) -> int:
         return len(self.jobs) + len(self.queue)
 
-    # --- being pushed over
+    # --- overload of a cold worker
 
     def pushed_over(self, now: int) -> list[ColdLoadSample]:
-        """What pushed it over, or nothing: work within the window above so many times what it can do now."""
-        while self.reached and self.reached[0].at <= now - self.terms.fall_for:
-            self.reached.popleft()
-        if not self.up or not self.cold(now) or not self.reached:
+        """Return the work that crashes a cold worker by overload, or nothing if there is no overload.
+
+        Overload is more than `fall_factor` times the work that the worker can do now, within the window.
+        """
+        while self.cold_loads and self.cold_loads[0].at <= now - self.config.fall_for:
+            self.cold_loads.popleft()
+        if not self.up or not self.is_cold(now) or not self.cold_loads:
             return []
-        can = self.terms.cores * self.terms.speed * self.warmth(now) * self.terms.fall_for
-        # Two more of the largest that came: chance alone brings that much together.
-        slack = 2 * max(sent.work for sent in self.reached)
-        if sum(sent.work for sent in self.reached) <= self.terms.fall_factor * can + slack:
+        capacity = self.config.cores * self.config.speed * self.warmth(now) * self.config.fall_for
+        # Two more jobs of the largest size are allowed, as that many coincide by chance alone.
+        slack = 2 * max(sent.work for sent in self.cold_loads)
+        if sum(sent.work for sent in self.cold_loads) <= self.config.fall_factor * capacity + slack:
             return []
-        return list(self.reached)
+        return list(self.cold_loads)
 
 
 @dataclass(slots=True)
 class DeduplicationRecord:
-    """What a pod knows of one number."""
+    """Record of a pod on one idempotency key."""
 
-    since: int  # when it was first taken
+    since: int  # when the key was first accepted
     had_effect: bool = False
 
 
 @dataclass
 class DeduplicationCell:
-    """Workers that share the memory of numbered submissions: what is taken within the span is known as a
-    repeat, and has no effect if what it repeats had one."""
+    """Workers that share a deduplication record of numbered requests.
+
+    A key that is accepted again within the span is a repeat; a repeat has no effect if the first one had one.
+    """
 
     span: int
     seen: dict[str, DeduplicationRecord] = field(default_factory=dict)
 
-    def takes(self, number: str, now: int) -> DeduplicationRecord:
-        known = self.seen.get(number)
-        if known is None or now - known.since >= self.span:
-            known = self.seen[number] = DeduplicationRecord(now)
-        return known
+    def record(self, number: str, now: int) -> DeduplicationRecord:
+        first = self.seen.get(number)
+        if first is None or now - first.since >= self.span:
+            first = self.seen[number] = DeduplicationRecord(now)
+        return first
 
 
 class SharedCapacity:
-    """A thing that all workers depend on: slower by a script, or by more jobs at once than it bears."""
+    """A resource that all workers depend on; it is slowed by faults, and by more jobs than its capacity."""
 
     def __init__(self, capacity: float) -> None:
         self.capacity, self.running, self.factors = capacity, 0, [1.0]
 
     def factor(self) -> float:
-        """How many times slower everything is."""
-        crowded = self.running / self.capacity if self.capacity else 0.0
-        return max(1.0, crowded) * max(self.factors)
+        """Return the slowdown factor of all workers."""
+        load = self.running / self.capacity if self.capacity else 0.0
+        return max(1.0, load) * max(self.factors)
--- a/locktide/simulation/outcome.py
+++ b/locktide/simulation/outcome.py
@@ -10,7 +10,7 @@
 
 from locktide.simulation.cluster_report import breaches
 from locktide.simulation.model import traffic
-from locktide.simulation.model.checker import BLAMED
+from locktide.simulation.model.checker import RULE_MEANINGS
 from locktide.simulation.model.traffic import ClientRequest
 from locktide.simulation.scenario_runner import ScenarioRunner
 
@@ -24,35 +24,43 @@
     return round(part / whole, 6) if whole else None
 
 
-def on_time(asks: Iterable[ClientRequest]) -> float:
-    return sum(ask.revenue for ask in asks if ask.answered_at and ask.answered_at - ask.at <= ask.soft_limit)
+def on_time(requests: Iterable[ClientRequest]) -> float:
+    return sum(
+        request.revenue
+        for request in requests
+        if request.answered_at and request.answered_at - request.at <= request.soft_limit
+    )
 
 
-def service(asks: Iterable[ClientRequest]) -> float | None:
+def service(requests: Iterable[ClientRequest]) -> float | None:
     """Revenue answered within the soft limit over revenue asked for."""
-    asks = list(asks)
-    return share(on_time(asks), sum(ask.revenue for ask in asks))
+    requests = list(requests)
+    return share(on_time(requests), sum(request.revenue for request in requests))
 
 
 def asked(stage: ScenarioRunner) -> list[ClientRequest]:
     """What was asked for by clients that stayed: who goes away by himself cannot be served."""
-    return [ask for ask in stage.asks if ask.tries and ask.tries[-1].ended not in ("", traffic.CLOSED)]
+    return [
+        request
+        for request in stage.asks
+        if request.tries and request.tries[-1].ended not in ("", traffic.CLOSED)
+    ]
 
 
-def worst(asks: list[ClientRequest], length: float) -> float | None:
+def worst(requests: list[ClientRequest], length: float) -> float | None:
     """Service of the worst ten seconds, by when it was asked for."""
     found = []
     for begin in range(max(1, int(length) - WORST_S + 1)):
-        window = [ask for ask in asks if begin <= ask.at / 1e6 < begin + WORST_S]
+        window = [request for request in requests if begin <= request.at / 1e6 < begin + WORST_S]
         value = service(window)
         if value is not None:
             found.append(value)
     return min(found, default=None)
 
 
-def windows(asks: list[ClientRequest], length: float, span: int = WINDOW_S) -> list[float | None]:
+def windows(requests: list[ClientRequest], length: float, span: int = WINDOW_S) -> list[float | None]:
     return [
-        service(ask for ask in asks if begin <= ask.at / 1e6 < begin + span)
+        service(request for request in requests if begin <= request.at / 1e6 < begin + span)
         for begin in range(0, max(1, int(length)), span)
     ]
 
@@ -70,39 +78,48 @@
 
 def of(stage: ScenarioRunner, host: str, complete: bool = True) -> dict[str, Any]:
     """All figures are of an emulated fleet."""
-    script, asks = stage.script, asked(stage)
-    ends = Counter(tried.ended or "open" for tried in stage.tries.values())
-    by_grade = {grade.name: [ask for ask in asks if ask.grade is grade] for grade in script.grade}
+    scenario, requests = stage.script, asked(stage)
+    ends = Counter(submission.ended or "open" for submission in stage.tries.values())
+    by_grade = {
+        grade.name: [request for request in requests if request.grade is grade] for grade in scenario.grade
+    }
     checker = stage.checker
     return {
         "format": FORMAT,
         "emulated": True,
-        "name": script.name,
-        "seed": script.seed,
+        "name": scenario.name,
+        "seed": scenario.seed,
         "host": host,
         "complete": complete,
-        "length_s": script.length,
-        "fleet": {"dispatchers": script.fleet.dispatchers, "workers": script.fleet.workers},
-        "service": service(asks),
-        "service_with_late": share(sum(ask.earned() for ask in asks), sum(ask.revenue for ask in asks)),
-        "worst_10s": worst(asks, script.length),
+        "length_s": scenario.length,
+        "fleet": {"dispatchers": scenario.fleet.dispatchers, "workers": scenario.fleet.workers},
+        "service": service(requests),
+        "service_with_late": share(
+            sum(request.earned() for request in requests), sum(request.revenue for request in requests)
+        ),
+        "worst_10s": worst(requests, scenario.length),
         "by_grade": {name: service(some) for name, some in by_grade.items()},
-        "windows_5s": windows(asks, script.length),
-        "jobs": len(asks),
+        "windows_5s": windows(requests, scenario.length),
+        "jobs": len(requests),
         "submissions": len(stage.tries),
         "answers": dict(sorted(ends.items())),
         "waits_s": waits(stage),
         "rules": dict(checker.counts),
         "broken": [
-            {"at_s": round(one.at / 1e6, 3), "rule": one.rule, "meaning": BLAMED[one.rule], "what": one.what}
-            for one in checker.breaches
+            {
+                "at_s": round(one.at / 1e6, 3),
+                "rule": one.rule,
+                "meaning": RULE_MEANINGS[one.rule],
+                "what": one.what,
+            }
+            for one in checker.violations
         ],
         "durable": {"kills": stage.kills, "points": stage.sprung, **stage.records}
         if stage.kept_grades
         else None,
-        "fell_over": checker.counted["fell over"],
+        "fell_over": checker.other_counts["fell over"],
         "crashed": stage.crashed,
-        "doubled_records": checker.counted["doubled records"],
+        "doubled_records": checker.other_counts["doubled records"],
         "incidents": [
             {
                 "at_s": incident.at,
--- a/locktide/simulation/rendered_config.py
+++ b/locktide/simulation/rendered_config.py
@@ -18,9 +18,9 @@
 from locktide.simulation.model.scenario import Scenario
 
 
-def settings(script: Scenario) -> dict[str, Any]:
+def settings(scenario: Scenario) -> dict[str, Any]:
     """The fleet's terms in the form of the deployment's settings; times in milliseconds."""
-    terms, dispatcher = script.worker, script.dispatcher
+    terms, dispatcher = scenario.worker, scenario.dispatcher
     grades = [
         {
             "Name": grade.name,
@@ -33,14 +33,14 @@
             "OverdueRevenue": grade.late,
             "Stream": False,
         }
-        for grade in script.grade
+        for grade in scenario.grade
     ]
     told: dict[str, Any] = {
         "Step": 4.0,
-        "FleetSize": script.fleet.dispatchers,
+        "FleetSize": scenario.fleet.dispatchers,
         "ServiceGrades": grades,
         "Domain": {
-            "ClassStretch": [grade.stretch for grade in script.grade],
+            "ClassStretch": [grade.stretch for grade in scenario.grade],
             "TellsStart": True,
             "Progress": terms.progress * 1000,
         },
@@ -53,13 +53,13 @@
             "ConnectTimeout": dispatcher.connect * 1000,
             "IdleClose": terms.idle_close * 1000,
         },
-        "Kinds": [kind.name for kind in script.fleet.kinds],
+        "Kinds": [kind.name for kind in scenario.fleet.kinds],
         "ObjectiveMix": {"Whole": 0.5, "WorstClass": 0.4, "WorstWindow": 0.1},
-        "Discovery": "subscribe" if script.roster.call else "automatic",
-        "Realms": [{"Name": tenant.name, "QuotaPerS": tenant.rate} for tenant in script.tenant],
-        "BeyondShareRevenue": script.accord.beyond if script.tenant else 1.0,
+        "Discovery": "subscribe" if scenario.roster.call else "automatic",
+        "Realms": [{"Name": tenant.name, "QuotaPerS": tenant.rate} for tenant in scenario.tenant],
+        "BeyondShareRevenue": scenario.accord.beyond if scenario.tenant else 1.0,
         "Rules": {
-            "AskWithin": script.roster.ask_within * 1000,
+            "AskWithin": scenario.roster.ask_within * 1000,
             "OverloadFactor": terms.fall_factor,
             "OverloadFor": terms.fall_for * 1000,
             "ColdFrom": terms.cold_from,
@@ -79,7 +79,7 @@
     return made
 
 
-def config(script: Scenario, number: int, listen: str, discovery: str, known: Any) -> dict[str, Any]:
+def config(scenario: Scenario, number: int, listen: str, discovery: str, known: Any) -> dict[str, Any]:
     return {
         "name": f"d{number}",
         "listen": listen,
@@ -87,26 +87,26 @@
         "seed": "0",
         "limits": {
             "cores": 1.0,
-            "memory_mb": script.dispatcher.memory_mb,
-            "sockets": script.dispatcher.sockets,
+            "memory_mb": scenario.dispatcher.memory_mb,
+            "sockets": scenario.dispatcher.sockets,
         },
         "known": known,
-        "settings": {**settings(script), "Me": number},
+        "settings": {**settings(scenario), "Me": number},
     }
 
 
-def kept_grades(script: Scenario) -> list[str]:
+def kept_grades(scenario: Scenario) -> list[str]:
     """The grades whose jobs are durable."""
-    if not script.durable.on:
+    if not scenario.durable.on:
         return []
-    return script.durable.grades or [grade.name for grade in script.grade]
+    return scenario.durable.grades or [grade.name for grade in scenario.grade]
 
 
-def durable(script: Scenario) -> DurableJobsSection:
-    terms = script.durable
+def durable(scenario: Scenario) -> DurableJobsSection:
+    terms = scenario.durable
     return DurableJobsSection(
         enabled=True,
-        service_classes=kept_grades(script),
+        service_classes=kept_grades(scenario),
         detached_timeout=terms.limit,
         retention=3600.0,
         start_timeout=terms.start_within,
@@ -115,21 +115,21 @@
     )
 
 
-def electors(script: Scenario) -> int:
+def electors(scenario: Scenario) -> int:
     """So many dispatchers, the first ones, choose who divides: three or five."""
-    return 5 if script.fleet.dispatchers >= 5 else 3 if script.fleet.dispatchers >= 3 else 1
+    return 5 if scenario.fleet.dispatchers >= 5 else 3 if scenario.fleet.dispatchers >= 3 else 1
 
 
-def agreed(script: Scenario, listen: str, reach: str, places: list[str], trace: str) -> ClusterSection:
+def agreed(scenario: Scenario, listen: str, reach: str, places: list[str], trace: str) -> ClusterSection:
     """The accord of one dispatcher, as an installation has it; `places` are where all are reached."""
-    terms = script.accord
+    terms = scenario.accord
     return ClusterSection(
         enabled=True,
         listen=listen,
         advertised_address=reach,
-        acceptors=[AcceptorSection(name=f"d{n}", address=places[n]) for n in range(electors(script))],
+        acceptors=[AcceptorSection(name=f"d{n}", address=places[n]) for n in range(electors(scenario))],
         reserved_fraction=terms.reserve,
-        max_members=script.fleet.dispatchers + terms.spare,
+        max_members=scenario.fleet.dispatchers + terms.spare,
         burst=terms.burst,
         lendable_fraction=terms.lend,
         resources=terms.resource,
@@ -137,27 +137,27 @@
     )
 
 
-def installation(script: Scenario, name: str, accord: ClusterSection) -> Installation:
+def installation(scenario: Scenario, name: str, accord: ClusterSection) -> Installation:
     """As much of an installation as the accord is told by."""
     return Installation(
         serve=ServeSection(name=name),
         cluster=accord,
-        tenants=[TenantSection(name=one.name, rate=one.rate, weight=one.weight) for one in script.tenant],
+        tenants=[TenantSection(name=one.name, rate=one.rate, weight=one.weight) for one in scenario.tenant],
         service_classes=[
             ServiceClassSection(name=one.name, timeout=one.limit, resource_needs=one.holds)
-            for one in script.grade
+            for one in scenario.grade
         ],
     )
 
 
 def as_file(
-    script: Scenario, told: dict[str, Any], directory: Path, accord: ClusterSection | None = None
+    scenario: Scenario, told: dict[str, Any], directory: Path, accord: ClusterSection | None = None
 ) -> str:
     """What `config` tells, as an installation's file, with durable jobs in that directory or with an accord.
 
     For `locktide serve`: the platform's start has no such parts.
     """
-    terms, dispatcher, kept = script.worker, script.dispatcher, durable(script)
+    terms, dispatcher, kept = scenario.worker, scenario.dispatcher, durable(scenario)
     tables: dict[str, dict[str, Any]] = {
         "serve": {"name": told["name"], "listen": told["listen"], "roster": told["discovery"]},
         "limits": {"descriptors": dispatcher.sockets, "memory_mb": dispatcher.memory_mb},
@@ -168,16 +168,16 @@
             "longest_advice": dispatcher.longest_advice,
         },
         "workers": {
-            "dispatchers": script.fleet.dispatchers,
+            "dispatchers": scenario.fleet.dispatchers,
             "progress": terms.progress,
             "cold_from": terms.cold_from,
             "cold_for": terms.cold_for,
             "fall_factor": terms.fall_factor,
             "fall_for": terms.fall_for,
         },
-        "worth": {"worst_grade": 0.4, "beyond_share": script.accord.beyond if script.tenant else 1.0},
+        "worth": {"worst_grade": 0.4, "beyond_share": scenario.accord.beyond if scenario.tenant else 1.0},
         "durable": {
-            "on": script.durable.on,
+            "on": scenario.durable.on,
             "directory": str(directory),
             "grades": kept.service_classes,
             "limit": kept.detached_timeout,
@@ -197,7 +197,7 @@
         for name, rows in tables_of.items():
             for row in rows:
                 lines += [f"[[accord.{name}]]", *assigned(row)]
-    for one in script.tenant:
+    for one in scenario.tenant:
         lines += ["[[tenant]]", *assigned({"name": one.name, "rate": one.rate, "weight": one.weight})]
     for entry in told["known"]["targets"]:
         known = {
@@ -208,7 +208,7 @@
             "cell": entry["pod_group"],
         }
         lines += ["[[known]]", *assigned(known)]
-    for grade in script.grade:
+    for grade in scenario.grade:
         service = {
             "name": grade.name,
             "effect": grade.effect,
--- a/locktide/simulation/run.py
+++ b/locktide/simulation/run.py
@@ -39,49 +39,49 @@
     said: list[str] = field(default_factory=list)  # what the dispatchers logged
 
 
-def with_seed(script: Scenario, seed: int) -> Scenario:
-    return msgspec.structs.replace(script, seed=seed)
+def with_seed(scenario: Scenario, seed: int) -> Scenario:
+    return msgspec.structs.replace(scenario, seed=seed)
 
 
-def attach_in_virtual_time(script: Scenario, stage: ScenarioRunner, host: VirtualBackend) -> None:
+def attach_in_virtual_time(scenario: Scenario, stage: ScenarioRunner, host: VirtualBackend) -> None:
     """Connect a host to its stage, with the disks and the agreement that the script asks for."""
     host.links, host.on_point = stage.links, stage.dispatcher_at
-    if script.durable.on:
-        terms = script.durable
-        host.durable = (told_module.durable(script), script.seed, terms.sync, terms.zeros)
-    if script.accord.on:
-        host.talk = PeerLinks(script.seed)
+    if scenario.durable.on:
+        terms = scenario.durable
+        host.durable = (told_module.durable(scenario), scenario.seed, terms.sync, terms.zeros)
+    if scenario.accord.on:
+        host.talk = PeerLinks(scenario.seed)
         places = [f"{host.address(machine)}:{TALK_PORT}" for machine in stage.dispatcher_machines]
 
         def agree(number: int, name: str, address: str) -> ClusterConfig:
-            accord = told_module.agreed(script, places[number], places[number], places, "")
-            return cluster_config(told_module.installation(script, name, accord))
+            accord = told_module.agreed(scenario, places[number], places[number], places, "")
+            return cluster_config(told_module.installation(scenario, name, accord))
 
         host.agree = agree
 
 
-async def attach_on_loopback(script: Scenario, stage: ScenarioRunner, host: ProcessBackend) -> None:
+async def attach_on_loopback(scenario: Scenario, stage: ScenarioRunner, host: ProcessBackend) -> None:
     """Connect a host to its stage, with the disks and the agreement that the script asks for."""
-    if script.durable.on or script.accord.on:
-        refuse_on_loopback(script)
-        host.as_file = lambda told, directory, accord: told_module.as_file(script, told, directory, accord)
+    if scenario.durable.on or scenario.accord.on:
+        refuse_on_loopback(scenario)
+        host.as_file = lambda told, directory, accord: told_module.as_file(scenario, told, directory, accord)
     host.links = stage.links
-    if script.accord.on:
-        host.talk = PeerLinks(script.seed)
+    if scenario.accord.on:
+        host.talk = PeerLinks(scenario.seed)
         here = [host.address(machine) for machine in stage.dispatcher_machines]
         places = [f"{address}:{REACH_PORT}" for address in here]
         host.agree = lambda number, trace: told_module.agreed(
-            script, f"{here[number]}:{TALK_PORT}", places[number], places, str(trace)
+            scenario, f"{here[number]}:{TALK_PORT}", places[number], places, str(trace)
         )
         await host.open_talk(stage.dispatcher_machines)
 
 
-def in_virtual_time(script: Scenario, glance: ProgressCallback | None = None) -> RunResult:
+def in_virtual_time(scenario: Scenario, glance: ProgressCallback | None = None) -> RunResult:
     """Raises Troubled where code of ours broke off unseen: a fault that a rehearsal must not hide."""
     loop = VirtualLoop()  # type: ignore[abstract]
     host = VirtualBackend(loop)
-    stage = ScenarioRunner(script, host)
-    attach_in_virtual_time(script, stage, host)
+    stage = ScenarioRunner(scenario, host)
+    attach_in_virtual_time(scenario, stage, host)
     # Collected at fixed moments: when what is dropped is collected must not depend on what ran before.
     gc.collect()
     gc.disable()
@@ -97,12 +97,12 @@
         complete = True
         try:
             loop.run_until_complete(stage.play())
-            if script.accord.on:
+            if scenario.accord.on:
                 loop.run_until_complete(asyncio.sleep(agreed.QUIET))
         except KeyboardInterrupt:
             complete = False
         told = outcome.of(stage, "virtual time", complete) | host.measures()
-        if script.accord.on:
+        if scenario.accord.on:
             digests = loop.run_until_complete(host.digests())
             told["accord"] = figures(stage, *host.traced(), digests)
         troubles = [spell(context) for context in loop.trouble]
@@ -119,12 +119,12 @@
 
 
 async def on_loopback(
-    script: Scenario, program: Path, folder: Path, glance: ProgressCallback | None = None
+    scenario: Scenario, program: Path, folder: Path, glance: ProgressCallback | None = None
 ) -> RunResult:
     """In real time. Cancelled in the middle, it gives what there is, and leaves no process behind."""
     host = ProcessBackend(program, folder)
-    stage = ScenarioRunner(script, host)
-    await attach_on_loopback(script, stage, host)
+    stage = ScenarioRunner(scenario, host)
+    await attach_on_loopback(scenario, stage, host)
     complete = True
 
     async def look() -> None:
@@ -136,13 +136,13 @@
     try:
         try:
             await stage.play()
-            if script.accord.on:
+            if scenario.accord.on:
                 await asyncio.sleep(agreed.QUIET)
         except asyncio.CancelledError:
             complete = False
         host.sum_up()
         told = outcome.of(stage, "loopback", complete) | host.measures()
-        if script.accord.on:
+        if scenario.accord.on:
             told["accord"] = figures(stage, *host.traced(), await host.digests())
         return RunResult(told, host.logs())
     finally:
@@ -157,13 +157,13 @@
     return agreed.figures(stage.script, traces, outcome.asked(stage), begun, digests)
 
 
-def refuse_on_loopback(script: Scenario) -> None:
+def refuse_on_loopback(scenario: Scenario) -> None:
     """What an installation's file and a real disk cannot be told; raises Troubled."""
-    if any(incident.what == "trap-dispatcher" for incident in script.incident):
+    if any(incident.what == "trap-dispatcher" for incident in scenario.incident):
         raise RunFailedError(
             "points of a journal at which dispatchers are trapped are for --host virtual only"
         )
-    if script.dispatcher.settings or script.roster.call:
+    if scenario.dispatcher.settings or scenario.roster.call:
         raise RunFailedError(
             "with durable jobs or an accord dispatcher.settings and roster.call are for --host virtual only"
         )
--- a/locktide/simulation/scenario_runner.py
+++ b/locktide/simulation/scenario_runner.py
@@ -52,33 +52,33 @@
 
 
 class ScenarioRunner:
-    def __init__(self, script: Scenario, host: Backend) -> None:
-        self.script, self.host = script, host
-        self.links = NetworkLinks(script.network, script.seed)
-        memory = {g.name: int(g.memory * 1e6) for g in script.grade if g.effect == "numbered"}
+    def __init__(self, scenario: Scenario, host: Backend) -> None:
+        self.script, self.host = scenario, host
+        self.links = NetworkLinks(scenario.network, scenario.seed)
+        memory = {g.name: int(g.memory * 1e6) for g in scenario.grade if g.effect == "numbered"}
         self.checker = Checker(
             CheckerConfig(
                 slack=CheckerConfig.slack + host.slack,
-                drain_grace=int(script.dispatcher.drain_grace * 1e6),
+                drain_grace=int(scenario.dispatcher.drain_grace * 1e6),
                 memory=memory,
             )
         )
-        self.shared = SharedCapacity(script.shared.capacity)
+        self.shared = SharedCapacity(scenario.shared.capacity)
         self.tries: dict[str, RequestTry] = {}
-        self.asks: list[ClientRequest] = traffic.draw_requests(script)
+        self.asks: list[ClientRequest] = traffic.draw_requests(scenario)
         self.tasks: dict[asyncio.Task[Any], None] = {}
         self.half_open: list[WorkerConnection] = []
         self.samples: list[Sample] = []
         self.wait_by: dict[str, HdrHistogram] = {
-            grade.name: HdrHistogram(1, LONGEST_WAIT, 3) for grade in script.grade
+            grade.name: HdrHistogram(1, LONGEST_WAIT, 3) for grade in scenario.grade
         }
         self.keys = self.sprung = self.crashed = 0
         self.ended = False
-        self.kept_grades = frozenset(told.kept_grades(script) if script.durable.asks else ())
+        self.kept_grades = frozenset(told.kept_grades(scenario) if scenario.durable.asks else ())
         self.records: dict[str, int] = dict.fromkeys(("accepted", "done", "denied", "terminated", "lost"), 0)
         self.kills = 0  # of dispatchers, by a trap or by the clock
         self.traps: dict[int, tuple[str, int]] = {}  # by dispatcher: the point, and how long it is away then
-        fleet = script.fleet
+        fleet = scenario.fleet
         self.dispatcher_port = DISPATCHER_PORT
         self.dispatcher_machines = [
             Machine(DISPATCHER, number, self.zone_of(number)) for number in range(fleet.dispatchers)
@@ -86,12 +86,12 @@
         self.dispatchers = [EmulatedDispatcher(machine) for machine in self.dispatcher_machines]
         entries = [self.entry(number) for number in range(fleet.workers)]
         self.agents = [DiscoveryAgent(entries) for _ in self.dispatchers]
-        roster = script.roster
+        roster = scenario.roster
         self.calls = (
             CallCapacity(int(roster.call * 1e6), int(roster.call_waits * 1e6)) if roster.call else None
         )
         self.agent_sites = [
-            DiscoverySite(host, number, agent, script.seed, roster.whole, self.endpoint(number), self.calls)
+            DiscoverySite(host, number, agent, scenario.seed, roster.whole, self.endpoint(number), self.calls)
             for number, agent in enumerate(self.agents)
         ]
         pods: dict[int, DeduplicationCell] = {}
@@ -146,9 +146,9 @@
 
         return spell
 
-    def body(self, ask: ClientRequest) -> bytes:
+    def body(self, request: ClientRequest) -> bytes:
         size = self.script.clients.bodies
-        return (f"{ask.number:x}." * (size // 2 + 1))[:size].encode()
+        return (f"{request.number:x}." * (size // 2 + 1))[:size].encode()
 
     def next_key(self) -> int:
         self.keys += 1
@@ -165,22 +165,22 @@
     def links_changed_at(self) -> int:
         return self.timeline.links_changed_at
 
-    def audible(self, came: ReceivedAttempt) -> bool:
+    def could_have_ended(self, came: ReceivedAttempt) -> bool:
         """Whether a dispatcher could have ended that dispatch in a way that both sides know."""
         site = self.workers[came.worker]
         if came.accepted_at is not None and not self.kept_grades:
             # Its 202 has come through: nothing but a word or a withdrawal that came ends it, however silent
             # its worker is. But one may have been lost under way when the link was just cut.
-            since = self.links.held_since(site.machine, self.dispatcher_machines[came.dispatcher])
+            since = self.links.last_cut_at(site.machine, self.dispatcher_machines[came.dispatcher])
             return since is None or self.host.now() - since > UNDER_WAY
         settled = self.host.now() - max(site.troubled_at, self.timeline.links_changed_at) > UNSETTLED
         return site.worker.up and settled and not site.cut_from(came.dispatcher)
 
     def held_back(self, one: Machine, other: Machine, came_at: int) -> int | None:
         """When the link was cut, if what came then may have waited for it to be whole."""
-        since = self.links.held_since(one, other)
+        since = self.links.last_cut_at(one, other)
         changed = self.timeline.links_changed_at
-        until = changed + self.links.most(one, other) + HEALING + self.host.slack
+        until = changed + self.links.max_delay(one, other) + HEALING + self.host.slack
         if since is None or not changed <= came_at <= until:
             return None
         return since
@@ -213,8 +213,10 @@
         for site in self.workers:
             site.schedule()
 
-    def waits(self, ask: ClientRequest) -> None:
-        self.wait_by[ask.grade.name].record_value(min(LONGEST_WAIT, max(1, ask.answered_at - ask.at)))
+    def waits(self, request: ClientRequest) -> None:
+        self.wait_by[request.grade.name].record_value(
+            min(LONGEST_WAIT, max(1, request.answered_at - request.at))
+        )
 
     def pause_later(self, site: WorkerSite) -> None:
         """The next of the short pauses that every worker makes now and then."""
@@ -284,11 +286,11 @@
     def taken_out(self, number: int) -> None:
         if self.dispatchers[number].stopping:
             for site in self.clients:
-                site.front.leaves(number)
+                site.front.remove(number)
 
     def gone(self, number: int) -> None:
         for site in self.clients:
-            site.front.died(number, self.host.now())
+            site.front.note_death(number, self.host.now())
             site.lines[number].close()
 
     async def watch_dispatcher(self, number: int) -> None:
@@ -334,7 +336,7 @@
             self.spawn(self.watch_dispatcher(number))
         waited = 0.0
         while not all(
-            any(site.front.taken_in.get(number) for site in self.clients) or self.nobodys(number)
+            any(site.front.in_service.get(number) for site in self.clients) or self.nobodys(number)
             for number in range(len(self.dispatchers))
         ):
             await asyncio.sleep(0.05)
@@ -353,16 +355,16 @@
         self.ended = True
 
     def nobodys(self, number: int) -> bool:
-        return not any(number in site.front.taken_in for site in self.clients)
+        return not any(number in site.front.in_service for site in self.clients)
 
     async def traffic(self) -> None:
         self.playing: list[asyncio.Task[None]] = []
-        for ask in self.asks:
-            wait = ask.at - self.host.now()
+        for request in self.asks:
+            wait = request.at - self.host.now()
             if wait > 0:
                 await asyncio.sleep(wait / 1e6)
-            ask.at = max(ask.at, self.host.now())
-            self.playing.append(self.spawn(self.clients[ask.zone].play(ask)))
+            request.at = max(request.at, self.host.now())
+            self.playing.append(self.spawn(self.clients[request.zone].play(request)))
 
     async def sample(self) -> None:
         while True:
@@ -375,7 +377,7 @@
                     sum(len(worker.queue) for worker in up),
                     sum(len(worker.jobs) for worker in up),
                     len(up),
-                    sum(worker.cold(now) for worker in up),
+                    sum(worker.is_cold(now) for worker in up),
                     sum(worker.slow * worker.shared > 1.0 or worker.held_until > now for worker in up),
                     sum(one.alive and not one.stopping for one in self.dispatchers),
                 )
--- a/locktide/simulation/tables.py
+++ b/locktide/simulation/tables.py
@@ -9,7 +9,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from locktide.simulation.model.checker import BLAMED
+from locktide.simulation.model.checker import RULE_MEANINGS
 from locktide.simulation.scenario_runner import ScenarioRunner
 
 
@@ -35,7 +35,7 @@
     console.print(f"{told['submissions']} submissions of {told['jobs']} jobs: {answers}")
     rules = Table(show_header=False, box=None, padding=(0, 2, 0, 0))
     for rule, count in told["rules"].items():
-        rules.add_row(rule, str(count), BLAMED[rule], style="bold red" if count else "")
+        rules.add_row(rule, str(count), RULE_MEANINGS[rule], style="bold red" if count else "")
     console.print(rules)
     for one in told["broken"][:10]:
         console.print(f"  {one['at_s']:.3f} s {one['rule']}: {one['what']}", style="red", markup=False)
--- a/locktide/simulation/virtual_backend.py
+++ b/locktide/simulation/virtual_backend.py
@@ -161,7 +161,7 @@
                 await driver.close()
             if job_service is not None:
                 await job_service.close()
-            self.died(process)
+            self.note_death(process)
             self.net.kill(process)
 
         self.loop.create_task(run(), context=context).add_done_callback(self.ended)
@@ -186,7 +186,7 @@
         ledgers = [driver.member.ledger for process, driver in self.drivers.values() if not process.dead]
         return [f"{ledger.standing.digest:016x}" for ledger in ledgers if ledger is not None]
 
-    def died(self, process: VirtualProcess) -> None:
+    def note_death(self, process: VirtualProcess) -> None:
         self.ended_at.setdefault(process, round(self.loop.time() * 1e6))
 
     def traced(self) -> tuple[list[QuotaTrace], int]:
@@ -222,7 +222,7 @@
         self.processes[number][0].held_until = self.loop.time() + seconds
 
     def kill_dispatcher(self, number: int) -> None:
-        self.died(self.processes[number][0])
+        self.note_death(self.processes[number][0])
         self.net.kill(self.processes[number][0])
         if number in self.platters:
             self.platters[number].crash()
--- a/locktide/simulation/worker_site.py
+++ b/locktide/simulation/worker_site.py
@@ -121,7 +121,7 @@
         self.troubled_at = -UNSETTLED
         self.trap = ""  # where it dies next
         self.trap_back_after = 0
-        self.came: dict[int, ReceivedAttempt] = {}
+        self.received: dict[int, ReceivedAttempt] = {}
         self.calls: dict[int, asyncio.Task[None]] = {}  # the last callback of each dispatch
         self.timer: asyncio.TimerHandle | None = None
         self.due: int | None = None
@@ -202,51 +202,51 @@
     def dispatched(self, end: WorkerConnection, message: Message) -> None:
         stage, now = self.stage, self.stage.host.now()
         id = message.fields.get(names.REQUEST_ID.lower(), "")
-        tried = stage.tries.get(id)
-        ask = tried.ask if tried else None
+        submission = stage.tries.get(id)
+        request = submission.ask if submission else None
         if (
-            tried is None
-            or ask is None
-            or message.path != f"/{ask.grade.name}"
-            or message.body != stage.body(ask)
+            submission is None
+            or request is None
+            or message.path != f"/{request.grade.name}"
+            or message.body != stage.body(request)
         ):
-            stage.checker.stray(now, f"{message.method} {message.path} {id!r} at w{self.number}")
+            stage.checker.record_stray(now, f"{message.method} {message.path} {id!r} at w{self.number}")
             end.reply(400 if id else 404)
             return
         self.tick()
         there = stage.dispatcher_machines[end.sender]
         came = stage.checker.reached(
-            tried,
+            submission,
             self.number,
             self.entry.pod,
             end.sender,
             message.first_at,
             now,
-            stage.agents[end.sender].drain_told_at(self.number),
-            stage.links.most(there, self.machine) + stage.host.slack,
-            stage.audible,
+            stage.agents[end.sender].drain_notified_at(self.number),
+            stage.links.max_delay(there, self.machine) + stage.host.slack,
+            stage.could_have_ended,
             stage.held_back(there, self.machine, message.first_at),
         )
         if self.spring("before-202"):
-            stage.checker.stands(came, POSSIBLY_EXECUTED)  # it died with what it had just read
+            stage.checker.settle(came, POSSIBLY_EXECUTED)  # it died with what it had just read
             return
         stage.dispatcher_at(end.sender, "dispatch reached")
         key = stage.next_key()
         noise = chance.stretch(stage.script.seed, stage.script.worker.spread, "cost", id, key)
         fails = chance.unit(stage.script.seed, "error", key) < stage.script.worker.error_rate
-        job = RunningJob(key, id, end.sender, max(1000, int(ask.work * noise)), ask.width, fails)
-        self.came[key] = came
+        job = RunningJob(key, id, end.sender, max(1000, int(request.work * noise)), request.width, fails)
+        self.received[key] = came
         taken = self.worker.offer(now, job)
         self.fall_over()
         if not self.worker.up:
             return
         if taken == FULL:
-            stage.checker.stands(came, NEVER_EXECUTED)
+            stage.checker.settle(came, NEVER_EXECUTED)
             end.reply(503, b"", ((names.DECLINED, "1"),))
             return
-        if ask.grade.effect == "numbered":
+        if request.grade.effect == "numbered":
             # By when its first byte came: a hung process reads late what was sent in time.
-            job.seen = self.pod.takes(ask.key, message.first_at)
+            job.seen = self.pod.record(request.key, message.first_at)
         if chance.unit(stage.script.seed, "early", key) < stage.script.worker.early:
             end.pending = job
             self.tick()
@@ -266,28 +266,28 @@
             return
         self.tick()
         for job in self.worker.withdraw(id, sender):
-            self.came.pop(job.key, None)
+            self.received.pop(job.key, None)
         self.given_up(id, sender)
         self.tick()
 
     def given_up(self, id: str, sender: int) -> None:
-        for came in self.stage.checker.came.get(id, ()):
+        for came in self.stage.checker.received.get(id, ()):
             if came.worker == self.number and came.dispatcher == sender:
-                self.stage.checker.stands(came, GIVEN_UP)
+                self.stage.checker.settle(came, GIVEN_UP)
 
     # --- words
 
     def tell(self, word: JobReport) -> None:
         stage, job = self.stage, word.job
-        tried = stage.tries[job.id]
-        came = self.came.get(job.key)
+        submission = stage.tries[job.id]
+        came = self.received.get(job.key)
         told: dict[str, Any] = {"id": job.id, "from": self.entry.uid, "state": names.STARTED}
         if word.state == STARTED:
             if self.spring("before-started"):
                 return
             stage.running(1)
             if job.seen is None or not job.seen.had_effect:
-                stage.checker.effect(word.at, tried, came)
+                stage.checker.effect(word.at, submission, came)
             if job.seen is not None:
                 job.seen.had_effect = True
         elif word.state == RUNNING:
@@ -297,14 +297,14 @@
                 if self.spring("before-done"):
                     return
                 stage.running(-1)
-            self.came.pop(job.key, None)
+            self.received.pop(job.key, None)
             if came is not None:
-                stage.checker.stands(came, NEVER_EXECUTED if word.state == RETURNED else POSSIBLY_EXECUTED)
+                stage.checker.settle(came, NEVER_EXECUTED if word.state == RETURNED else POSSIBLY_EXECUTED)
             told["state"] = {DONE: "done", FAILED: "failed", RETURNED: "returned"}[word.state]
             if word.state == DONE:
                 stage.dispatcher_at(job.sender, "done told")
                 told["result"] = f"{job.id}/{job.key}"
-                stage.checker.made(job.id, told["result"].encode())
+                stage.checker.record_result(job.id, told["result"].encode())
         if not job.given_up:
             self.call(job, told)
 
@@ -390,11 +390,11 @@
             listening.close()
         self.opened.clear()
         for job in lost:
-            came = self.came.pop(job.key, None)
+            came = self.received.pop(job.key, None)
             # Who has the 202 and hears nothing cannot know that it is over: it stays out until given up.
             if came is not None and not (silently and came.accepted_at is not None):
-                self.stage.checker.stands(came, POSSIBLY_EXECUTED)
-        self.came.clear()
+                self.stage.checker.settle(came, POSSIBLY_EXECUTED)
+        self.received.clear()
         for task in list(self.calls.values()):
             task.cancel()
         self.calls.clear()
--- a/tests/dispatcher/test_many_dispatchers.py
+++ b/tests/dispatcher/test_many_dispatchers.py
@@ -62,7 +62,7 @@
                     ),
                 )
     assert len(told) == 40 and max(told.values()) < 20_000_000
-    assert service.taken < 60, "work for the service without need"
+    assert service.call_count < 60, "work for the service without need"
 
 
 @pytest.mark.parametrize(("warm", "cold", "submissions"), [(30, 30, 3), (0, 10, 20)])
@@ -308,7 +308,7 @@
         whom = "all"
     """)
     calls: list[int] = []
-    played = in_virtual_time(rough, lambda stage, now: calls.append(stage.calls.taken))  # type: ignore
+    played = in_virtual_time(rough, lambda stage, now: calls.append(stage.calls.call_count))  # type: ignore
     assert not any(played.told["rules"].values())
     assert calls[-1] <= 30, "two starts of eight, and a few that were turned away"
 
--- a/tests/simulation/test_model.py
+++ b/tests/simulation/test_model.py
@@ -102,7 +102,7 @@
     assert [one.key for one in worker.withdraw("j2", 0)] == [2]
     assert worker.withdraw("j0", 0) == [] and worker.jobs[0].given_up
     assert worker.withdraw("j1", 5) == [] and not worker.jobs[1].given_up  # another dispatcher's
-    assert worker.holds() == 2
+    assert worker.job_count() == 2
 
 
 def test_a_cold_worker_falls_over_by_more_than_it_may_be_sent_and_a_warm_one_does_not() -> None:
@@ -122,9 +122,9 @@
 
 def test_a_pod_drops_repeats_that_it_took_within_the_span_and_only_those_that_had_an_effect() -> None:
     pod = DeduplicationCell(10 * S)
-    first = pod.takes("k", 0)
-    assert pod.takes("k", 9 * S) is first and not first.had_effect  # never ran: the repeat has the effect
-    assert pod.takes("k", 10 * S) is not first
+    first = pod.record("k", 0)
+    assert pod.record("k", 9 * S) is first and not first.had_effect  # never ran: the repeat has the effect
+    assert pod.record("k", 10 * S) is not first
 
 
 OPERATIONS = st.lists(
@@ -175,13 +175,13 @@
             worker.start(now, cold=True)
         note(worker.advance(now))
         used = sum(one.width for one in worker.jobs.values())
-        assert used + worker.free == worker.terms.cores and worker.free >= 0
+        assert used + worker.free_cores == worker.config.cores and worker.free_cores >= 0
     for _ in range(300):
         if (at := worker.next_at()) is None:
             break
         now = max(now, at)
         note(worker.advance(now))
-    assert worker.holds() == 0
+    assert worker.job_count() == 0
     assert ends == dict.fromkeys(taken, 1)
 
 
@@ -199,15 +199,15 @@
     assert agent.advance(2 * S)
     told = agent.answer(3 * S, 1, False, lambda number: f"127.0.0.1:{7000 + number}")
     assert told is not None and not told["all"] and [one["state"] for one in told["targets"]] == [LEAVING]
-    assert agent.drain_told_at(0) == 3 * S and agent.drain_told_at(1) is None
+    assert agent.drain_notified_at(0) == 3 * S and agent.drain_notified_at(1) is None
     agent.change(4 * S, entry(LEFT))
     agent.advance(4 * S)
     agent.answer(5 * S, told["rev"], False, str)
-    assert agent.drain_told_at(0) == 3 * S  # of drained, then left, the first counts
+    assert agent.drain_notified_at(0) == 3 * S  # of drained, then left, the first counts
     agent.change(6 * S, entry(ACTIVE, boot_at=9))
     agent.advance(6 * S)
     agent.answer(7 * S, None, True, str)
-    assert agent.drain_told_at(0) is None and agent.told_at(0, ACTIVE, 9) == 7 * S
+    assert agent.drain_notified_at(0) is None and agent.told_at(0, ACTIVE, 9) == 7 * S
 
 
 def test_news_of_an_older_process_does_not_undo_that_of_a_newer_one() -> None:
@@ -221,7 +221,7 @@
 def test_a_stale_agent_has_its_news_later() -> None:
     agent = DiscoveryAgent([entry()])
     agent.change(S, entry(LEFT))
-    agent.stale_by = 5 * S
+    agent.extra_delay = 5 * S
     assert not agent.advance(5 * S) and agent.advance(6 * S)
 
 
@@ -276,11 +276,11 @@
     assert front.choose(0) is None
     front.ready(0)
     front.ready(1)
-    front.died(1, S)
+    front.note_death(1, S)
     assert {front.choose(2 * S) for _ in range(50)} == {0, 1}
     assert {front.choose(3 * S) for _ in range(50)} == {0}
     front.ready(1)
-    front.leaves(0)  # as planned: at once
+    front.remove(0)  # as planned: at once
     assert {front.choose(4 * S) for _ in range(50)} == {1}
 
 
@@ -310,7 +310,10 @@
 def test_cut_zones_and_machines_let_nothing_through_until_all_that_cut_them_is_over() -> None:
     links = NetworkLinks(NetworkSpec(same=0.001, cross=0.01, jitter=0.5), 1)
     near, far = Machine(WORKER, 0, 0), Machine(DISPATCHER, 0, 1)
-    assert 10_000 <= links.delay(near, far) <= 15_000 and links.base(near, Machine(DISPATCHER, 1, 0)) == 1000
+    assert (
+        10_000 <= links.delay(near, far) <= 15_000
+        and links.base_delay(near, Machine(DISPATCHER, 1, 0)) == 1000
+    )
     links.cut_zone(1, 0)
     links.cut_zone(1, 0)
     assert links.cut(near, far) and not links.cut(far, Machine(WORKER, 5, 1))
@@ -368,10 +371,10 @@
 
 def test_a_part_of_the_fleet_is_drawn_and_kinds_and_zones_are_named() -> None:
     told = Scenario()
-    assert script.whom(told, FaultSpec(at=1.0, whom="25%")) == ([], 0.25)
-    assert script.whom(told, FaultSpec(at=1.0, whom="zone1, w0"))[0] == [0, 1, 3, 5, 7, 9, 11]
+    assert script.resolve_targets(told, FaultSpec(at=1.0, whom="25%")) == ([], 0.25)
+    assert script.resolve_targets(told, FaultSpec(at=1.0, whom="zone1, w0"))[0] == [0, 1, 3, 5, 7, 9, 11]
     kinds = script.assign_worker_types(told)
-    assert script.whom(told, FaultSpec(at=1.0, whom="slow"))[0] == [
+    assert script.resolve_targets(told, FaultSpec(at=1.0, whom="slow"))[0] == [
         number for number, kind in enumerate(kinds) if kind.name == "slow"
     ]
     assert len({kind.name for kind in kinds[:3]}) == 3  # dealt out, not in blocks
--- a/tests/simulation/test_simulate.py
+++ b/tests/simulation/test_simulate.py
@@ -313,7 +313,7 @@
 
 
 def test_the_embedded_rehearsal_is_the_shipped_one() -> None:
-    assert script.load(HERE / "deploy" / "scenarios" / "overlap.toml") == script.embedded()
+    assert script.load(HERE / "deploy" / "scenarios" / "overlap.toml") == script.default_scenario()
     assert len(SCRIPTS) >= 10
 
 
--- a/tests/soak/stage.py
+++ b/tests/soak/stage.py
@@ -383,7 +383,7 @@
         tried = self.tries.get(request_id)
         if rule != "late" or tried is None:
             return False
-        due = tried.limit_at + self.checker.terms.slack
+        due = tried.limit_at + self.checker.config.slack
         if request_id in self.held_up.timed_out_late:
             return True
         return self.held_up.covers(tried.dispatcher, due, answered_at)
@@ -399,7 +399,7 @@
                 findings.add(f"{request_id}: {text}", is_timed=True)
         findings.requests = len(self.asks)
         findings.answered = sum(1 for ask in self.asks if ask.answered_at)
-        for breach in self.checker.breaches:
+        for breach in self.checker.violations:
             is_unseen = self.ended_unseen(breach.rule, breach.what)
             if is_unseen and self.soak.has_crowd:
                 findings.shut_unread += 1  # the page allows it of a new connection while descriptors are full
@@ -423,7 +423,7 @@
         if tried is None:
             return ""
         sent_at = self.sent_at.get(request_id, tried.sent_at) / 1e6
-        workers = [f"w{came.worker}" for came in self.checker.came.get(request_id, ())]
+        workers = [f"w{came.worker}" for came in self.checker.received.get(request_id, ())]
         ending = self.endings.get(tried.dispatcher)
         ended = f", its dispatcher was sent SIGTERM at {ending.began_at / 1e6:.3f}" if ending else ""
         return f"; sent at {sent_at:.3f}, to {', '.join(workers) or 'no worker'}{ended}"
@@ -432,5 +432,5 @@
         """Whether a connection ended with no answer under a request that reached no worker."""
         request_id = what.partition(" ")[0]
         tried = self.tries.get(request_id)
-        never_sent = request_id not in self.checker.came
+        never_sent = request_id not in self.checker.received
         return rule == "lost" and never_sent and tried is not None and tried.ended == traffic.BROKEN
--- a/tests/test_parsed_values.py
+++ b/tests/test_parsed_values.py
@@ -287,7 +287,7 @@
 def find_targets(parsed: scenarios.Scenario, fault: scenarios.FaultSpec) -> Any:
     """Return the targets of a fault; None where it names none."""
     try:
-        return scenarios.whom(parsed, fault)
+        return scenarios.resolve_targets(parsed, fault)
     except ValueError:
         return None
 
@@ -309,7 +309,7 @@
 
 
 def parse_embedded(_: Path) -> dict[str, Any]:
-    return {"script": scenarios.embedded()}
+    return {"script": scenarios.default_scenario()}
 
 
 # --- the comparison: a rename in the program changes nothing below
