--- a/locktide/cli/simulate.py
+++ b/locktide/cli/simulate.py
@@ -41,7 +41,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 MAX_SEEDS = 100_000
 PARENT_CHECK_INTERVAL = 0.5  # seconds between two checks whether the parent process is alive
-BROKEN, LATE, INTERRUPTED = 1, 3, 130  # exit codes
+EXIT_BROKEN, EXIT_LATE, EXIT_INTERRUPTED = 1, 3, 130  # exit codes
 RUNS_PER_PROGRESS_LINE = 10
 
 
@@ -62,7 +62,7 @@
         )
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     """Parse seeds such as `3`, `1-10` or `1,5,8-12`; raise click.BadParameter for any other text."""
     seeds: list[int] = []
     for part in text.split(","):
@@ -96,7 +96,7 @@
     if interrupted_seeds:
         raise RunFailedError("interrupted")
     variant, seed, host = job
-    outcome = run_scenario(variant, seed, host).told
+    outcome = run_scenario(variant, seed, host).outcome
     if not outcome["complete"]:
         interrupted_seeds.append(seed)
     return seed, outcome
@@ -225,17 +225,17 @@
         raise click.UsageError("--durable requires --random; a scenario file has a table for it")
     if second is not None and second.program != first.program and host == "virtual":
         raise click.UsageError("two checkouts can be compared with --host loopback only")
-    seed_numbers = seeds_of(seeds) if seeds else [scenario.seed if scenario else 1]
+    seed_numbers = parse_seeds(seeds) if seeds else [scenario.seed if scenario else 1]
     try:
         if len(seed_numbers) == times == 1 and second is None:
             sys.exit(run_single(first, seed_numbers[0], host, out, as_json, logs, console))
         sys.exit(run_series(first, second, seed_numbers * times, host, jobs, out, as_json, console))
     except (NotReadyError, RunFailedError) as error:
         print(f"locktide: {error}", file=sys.stderr)
-        sys.exit(BROKEN)
+        sys.exit(EXIT_BROKEN)
     except KeyboardInterrupt:
         print("locktide: interrupted", file=sys.stderr)
-        sys.exit(INTERRUPTED)
+        sys.exit(EXIT_INTERRUPTED)
 
 
 def second_variant(first: Variant, against: Path | None) -> Variant | None:
@@ -250,13 +250,13 @@
     return Variant(against.stem, scenarios.load(against), first.program)
 
 
-def code(outcome: dict[str, Any]) -> int:
+def outcome_exit_code(outcome: dict[str, Any]) -> int:
     """Return the exit code for an outcome."""
     if not outcome["complete"]:
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
     if sum(outcome["rules"].values()) or outcome["crashed"]:
-        return BROKEN
-    return 0 if outcome.get("counts", True) else LATE
+        return EXIT_BROKEN
+    return 0 if outcome.get("counts", True) else EXIT_LATE
 
 
 def run_single(
@@ -264,7 +264,7 @@
 ) -> int:
     """Run one seed and report its outcome; return the exit code."""
     scenario = variant.scenario_for(seed)
-    progress, on_progress = result_tables.watched(console, scenario.length, scenario.name)
+    progress, on_progress = result_tables.progress_display(console, scenario.length, scenario.name)
     if console.is_terminal:
         progress.start()
     try:
@@ -272,15 +272,15 @@
     finally:
         progress.stop()
     if as_json:
-        click.echo(json.dumps(result.told))
+        click.echo(json.dumps(result.outcome))
     else:
-        result_tables.show(result.told, console)
-        path = plots.write(result.told, out / f"{scenario.name}-{seed}-{host}")
+        result_tables.show(result.outcome, console)
+        path = plots.write(result.outcome, out / f"{scenario.name}-{seed}-{host}")
         console.print(f"report: {path}", soft_wrap=True, highlight=False)
     if logs:
-        for line in result.said:
+        for line in result.log_lines:
             click.echo(line, err=as_json)
-    return code(result.told)
+    return outcome_exit_code(result.outcome)
 
 
 def show_progress(variant: Variant, run_count: int, total: int, as_json: bool, console: Console) -> None:
@@ -307,7 +307,7 @@
         last_by_seed: dict[int, dict[str, Any]] = {}
         for run_count, (seed, outcome) in enumerate(run_all(variant, seeds, host, jobs), start=1):
             show_progress(variant, run_count, len(seeds), as_json, console)
-            exit_code = max(exit_code, code(outcome))
+            exit_code = max(exit_code, outcome_exit_code(outcome))
             if as_json:
                 click.echo(json.dumps({"side": variant.name, **outcome}))
             else:
@@ -339,7 +339,7 @@
             console.print(
                 f"{variant.name}: seeds {differing} had different outcomes in two runs", style="bold red"
             )
-            exit_code = max(exit_code, BROKEN)
+            exit_code = max(exit_code, EXIT_BROKEN)
     table = Table(title=f"service, {host} (an emulated fleet)", title_justify="left")
     for name in ("", "runs", "mean", "least", "most", "deviation"):
         table.add_column(name, justify="right" if name else "left")
@@ -360,7 +360,7 @@
             console.print(str(error))
             return exit_code
         low, high = difference.low, difference.high
-        verdict = "significant" if difference.told_apart else "not significant"
+        verdict = "significant" if difference.is_significant else "not significant"
         console.print(
             f"{second.name} less {first.name}: {difference.mean:+.4f}, "
             f"95% interval {low:+.4f} to {high:+.4f} ({difference.count} pairs): {verdict}"
--- a/locktide/simulation/__init__.py
+++ b/locktide/simulation/__init__.py
@@ -1,6 +1,6 @@
-"""Rehearsals: a scripted rough day, played by the fleet's model against real dispatchers, and what came of
-it.
+"""Simulation: runs a scenario with faults on an emulated fleet of real dispatchers, and reports the outcome.
 
-Stand-ins on asyncio drive the model of `locktide.simulation.model`. The same stand-ins run on loopback,
-with dispatchers as processes, and in virtual time, with the dispatchers' own code in this process.
+Emulated workers, clients and discovery services on asyncio drive the model of `locktide.simulation.model`.
+They run on loopback, with dispatchers as processes, and in virtual time, with the dispatchers' own code in
+this process.
 """
--- a/locktide/simulation/backend.py
+++ b/locktide/simulation/backend.py
@@ -1,4 +1,4 @@
-"""What a rehearsal asks of the place where it is played; loopback and virtual time each have their own."""
+"""Interface of the backends on which a scenario runs: loopback and virtual time."""
 
 from __future__ import annotations
 
@@ -10,30 +10,33 @@
 from locktide.simulation.peer_links import PeerLinks
 
 Address = tuple[str, int]
-WORKER_PORT = 7000  # of a worker, plus the dispatcher's number: each link has an address of its own
+WORKER_PORT = 7000  # plus the dispatcher's number, so that each link to a worker has an address of its own
 DISPATCHER_PORT, ROSTER_PORT = 7100, 8500
-TALK_PORT, REACH_PORT = 7200, 7201  # of dispatchers among themselves: where each listens and is reached
+TALK_PORT, REACH_PORT = 7200, 7201  # of the cluster: where a dispatcher listens, and where others reach it
 
 
 class Closable(Protocol):
-    """A listening place that can be given up."""
+    """A listening socket that can be closed."""
 
     def close(self) -> None: ...
 
 
 class Backend(Protocol):
-    """Times in whole microseconds since `begin`; all calls from the event loop."""
+    """What a scenario runner needs of a backend.
 
-    slack: int  # microseconds by which what is measured here may be off
-    talk: PeerLinks  # of the dispatchers among themselves
+    Times are whole microseconds since `begin`; all methods are called from the event loop.
+    """
+
+    slack: int  # error of times measured here, in microseconds
+    peer_links: PeerLinks  # links between the dispatchers
 
     def now(self) -> int: ...
 
-    def unix(self, at: int) -> int:
-        """That moment as Unix time in microseconds."""
+    def unix_time(self, at: int) -> int:
+        """Return that time as Unix time in microseconds."""
 
     def begin(self) -> None:
-        """From now on the rehearsal's time runs from 0."""
+        """Set the time of the run to 0."""
 
     def call_at(self, at: int, what: Callable[..., Any], *args: Any) -> asyncio.TimerHandle: ...
 
@@ -44,34 +47,34 @@
     async def connect(
         self, here: Machine, there: Machine, address: Address
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Raises OSError where it is refused; over a cut link it never returns."""
+        """Open a connection; raise OSError if it is refused; never return if the link is cut."""
 
     def reset(self, transport: asyncio.BaseTransport) -> None:
-        """Ends a connection as a process does that dies."""
+        """Reset a connection, as at the crash of its process."""
 
     def links_changed(self) -> None:
-        """Links were cut or are whole again."""
+        """Apply that links were cut or restored."""
 
     def address(self, machine: Machine) -> str: ...
 
-    def start_dispatcher(self, number: int, told: dict[str, Any]) -> None: ...
+    def start_dispatcher(self, number: int, start_config: dict[str, Any]) -> None: ...
 
     def stop_dispatcher(self, number: int) -> None:
-        """As SIGTERM."""
+        """Stop a dispatcher, as by SIGTERM."""
 
     def kill_dispatcher(self, number: int) -> None:
-        """As SIGKILL."""
+        """Kill a dispatcher, as by SIGKILL."""
 
     def dispatcher_runs(self, number: int) -> bool: ...
 
     def measures(self) -> dict[str, Any]:
-        """What there is to say of the run beside its outcome, for the report."""
+        """Return measurements of the backend for the report."""
 
     async def clear_away(self) -> None:
-        """Gives back all that is left: processes, listening places, connections."""
+        """Release everything that is left: processes, listening sockets, connections."""
 
 
 def net_address(net: int, machine: Machine) -> str:
-    """Its own address for each machine, below 127.`net` on loopback."""
+    """Return the address of a machine in the block 127.`net` of loopback; each machine has its own."""
     block = {WORKER: 20, DISPATCHER: 10}.get(machine.kind, 30)
     return f"127.{net}.{block + machine.number // 250}.{machine.number % 250 + 1}"
--- a/locktide/simulation/cluster_report.py
+++ b/locktide/simulation/cluster_report.py
@@ -1,4 +1,4 @@
-"""What a rehearsal's dispatchers agreed upon, out of their traces, and whether it kept its promises."""
+"""Evaluates the traces of the quota shares of all dispatchers of a run, and counts violations."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from locktide.simulation.model.traffic import ClientRequest
 
 SECOND = 1_000_000
-RECLAIM = SECOND  # within which all that a returning owner had lent is over
-QUIET = 2.0  # seconds without traffic after which all ledgers should be equal
-AWAY = 3 * SECOND  # without a submission for so long an owner has been away
+RECLAIM_TIMEOUT = SECOND  # microseconds until all loans of a returning owner have to be over
+QUIET = 2.0  # seconds without traffic after which all fairness ledgers should be equal
+MIN_ABSENCE = 3 * SECOND  # microseconds without requests after which an owner counts as absent
 
 
 @dataclass(frozen=True)
 class QuotaTrace:
-    """One process of a dispatcher: what it traced, and when it was killed, by the trace's clock; 0 if not."""
+    """The trace of one dispatcher process, and when it ended, by the clock of the trace; 0 if it did not."""
 
     number: int
     lines: list[str]
@@ -34,34 +34,36 @@
     begun: int,
     digests: list[str],
 ) -> dict[str, Any]:
-    """`begun` is when the rehearsal's time began, in microseconds of the traces' clock; `digests` are those
-    of the ledgers of all that live, after QUIET.
+    """Return the section of the report on the cluster.
+
+    `begun` is when the time of the run began, in microseconds of the traces' clock; `digests` are those of
+    the fairness ledgers of all live dispatchers, after QUIET.
     """
-    meter = QuotaChecker({tenant.name: (0.0, 0.0) for tenant in scenario.tenant})
+    quota_checker = QuotaChecker({tenant.name: (0.0, 0.0) for tenant in scenario.tenant})
     changes = 0
-    for place, trace in enumerate(traces):
+    for index, trace in enumerate(traces):
         for line in trace.lines:
-            told, changes = json.loads(line), changes + 1
-            loans = {(owner, borrower): part for owner, borrower, part in told["loans"]}
-            meter.in_force(
-                (trace.number, place),
-                told["at"],
-                told["parts"],
-                told["until"],
-                told["floor"],
+            report, changes = json.loads(line), changes + 1
+            loans = {(owner, borrower): part for owner, borrower, part in report["loans"]}
+            quota_checker.in_force(
+                (trace.number, index),
+                report["at"],
+                report["parts"],
+                report["until"],
+                report["floor"],
                 loans,
-                told["loans_until"],
+                report["loans_until"],
             )
         if trace.ended_at:
-            meter.end((trace.number, place), trace.ended_at)
+            quota_checker.end((trace.number, index), trace.ended_at)
     for at, tenant in sorted(
         (submission.sent_at, request.tenant) for request in requests for submission in request.tries
     ):
         if tenant:
-            meter.ask(tenant, begun + at)
-    overruns, reclaims = meter.overruns(), meter.reclaims(AWAY)
-    late = [one for one in reclaims if one.loans_over > RECLAIM]
-    spans = sorted(one.loans_over for one in reclaims)
+            quota_checker.ask(tenant, begun + at)
+    overruns, reclaims = quota_checker.overruns(), quota_checker.reclaims(MIN_ABSENCE)
+    late = [entry for entry in reclaims if entry.loans_over > RECLAIM_TIMEOUT]
+    spans = sorted(entry.loans_over for entry in reclaims)
     served: Counter[str] = Counter()
     asked: Counter[str] = Counter()
     for request in requests:
@@ -70,14 +72,16 @@
     return {
         "changes": changes,
         "overruns": len(overruns),
-        "first": [f"{(one.at - begun) / SECOND:.3f} s {one.budget}: {one.what}" for one in overruns[:3]],
+        "first": [
+            f"{(entry.at - begun) / SECOND:.3f} s {entry.budget}: {entry.what}" for entry in overruns[:3]
+        ],
         "reclaims": len(reclaims),
         "late_reclaims": len(late),
         "reclaim_s": {
             "p50": spans[len(spans) // 2] / SECOND if spans else None,
             "worst": spans[-1] / SECOND if spans else None,
         },
-        "loans": sum(1 for _ in meter.lent()),
+        "loans": sum(1 for _ in quota_checker.lent()),
         "ledgers_at_the_end": len(set(digests)),
         "tenants": {
             tenant.name: {
@@ -89,7 +93,7 @@
     }
 
 
-def breaches(told: dict[str, Any] | None) -> int:
-    if not told:
+def count_cluster_violations(report: dict[str, Any] | None) -> int:
+    if not report:
         return 0
-    return int(told["overruns"] + told["late_reclaims"] + (told["ledgers_at_the_end"] > 1))
+    return int(report["overruns"] + report["late_reclaims"] + (report["ledgers_at_the_end"] > 1))
--- a/locktide/simulation/compare.py
+++ b/locktide/simulation/compare.py
@@ -1,11 +1,11 @@
-"""Two sets of outcomes on the same seeds: means, spreads, and the interval of their difference."""
+"""Comparison of two sets of outcomes on the same seeds: mean, spread, and interval of the difference."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from math import sqrt
 
-# Two-sided 95% points of Student's t for 1 to 30 degrees of freedom; then the normal's is near enough.
+# Two-sided 95% points of Student's t for 1 to 30 degrees of freedom; beyond, the normal one is close enough.
 T95 = (
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PairedDifference:
-    """The second less the first, paired by seed; in 95 of 100 comparisons the interval holds the mean."""
+    """The mean of second less first, paired by seed, with its 95% confidence interval."""
 
     count: int
     mean: float
@@ -32,12 +32,12 @@
     high: float
 
     @property
-    def told_apart(self) -> bool:
+    def is_significant(self) -> bool:
         return self.low > 0 or self.high < 0
 
 
 def spread(values: list[float]) -> Summary:
-    """Raises ValueError for no values."""
+    """Summarize values; raise ValueError if there are none."""
     if not values:
         raise ValueError("no values")
     mean = sum(values) / len(values)
@@ -47,10 +47,10 @@
 
 
 def paired(first: dict[int, float], second: dict[int, float]) -> PairedDifference:
-    """By seed; raises ValueError where fewer than two seeds are in both."""
+    """Return the difference of two sets by seed; raise ValueError if they share fewer than two seeds."""
     seeds = sorted(first.keys() & second.keys())
     if len(seeds) < 2:
-        raise ValueError("a paired interval needs two seeds at least that both have played")
+        raise ValueError("a paired interval needs at least two seeds that both variants have run")
     found = spread([second[seed] - first[seed] for seed in seeds])
     t = T95[found.count - 2] if found.count - 2 < len(T95) else NORMAL
     half = t * found.deviation / sqrt(found.count)
--- a/locktide/simulation/fault_injector.py
+++ b/locktide/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""The incidents of a script, in their time: who is concerned is drawn once, then each is begun and ended."""
+"""Injects the faults of a scenario: draws the targets of each once, then begins and ends each in its time."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from locktide.simulation.model.worker import SharedCapacity
 from locktide.simulation.worker_site import WorkerSite
 
-# A planned restart: what has not ended so long after SIGTERM is killed, in seconds; the platform gives no
-# less than the longest time limit (3 s at most) and 0.7 s more.
-KILLED_AFTER = 3.7
-# A drained worker ends once it is empty, and is looked at so often; microseconds.
-LOOK_EVERY = 100_000
-NEVER = 10**15
+# In a planned restart, a dispatcher that has not ended so many seconds after SIGTERM is killed. The platform
+# waits at least for the longest time limit (but no more than 3 s) and 0.7 s more.
+KILL_DELAY = 3.7
+# Microseconds between two checks whether a drained worker is empty, or a stopped dispatcher has ended.
+CHECK_INTERVAL = 100_000
+FAR_FUTURE = 10**15
 
 
 class FaultTarget(RunContext, Protocol):
-    """Those on whom incidents act."""
+    """The scenario runner, as far as faults act on it."""
 
     workers: list[WorkerSite]
     agent_sites: list[DiscoverySite]
     dispatchers: list[EmulatedDispatcher]
     shared: SharedCapacity
-    traps: dict[int, tuple[str, int]]
+    pending_traps: dict[int, tuple[str, int]]
 
     def zone_of(self, number: int) -> int: ...
 
-    def reshare(self) -> None: ...
+    def apply_shared_slowdown(self) -> None: ...
 
     def start_dispatcher(self, number: int) -> None: ...
 
@@ -43,231 +43,233 @@
 
 
 class FaultInjector:
-    def __init__(self, stage: FaultTarget) -> None:
-        self.stage = stage
-        self.links_changed_at = -NEVER
-        self.chosen: list[tuple[FaultSpec, list[int]]] = [
-            (incident, self.choose(place, incident)) for place, incident in enumerate(stage.script.incident)
+    def __init__(self, runner: FaultTarget) -> None:
+        self.runner = runner
+        self.links_changed_at = -FAR_FUTURE
+        self.targets: list[tuple[FaultSpec, list[int]]] = [
+            (fault, self.choose(index, fault)) for index, fault in enumerate(runner.script.incident)
         ]
 
-    def choose(self, place: int, incident: FaultSpec) -> list[int]:
-        scenario = self.stage.script
-        if incident.what not in WORKERS | DISPATCHERS:
+    def choose(self, index: int, fault: FaultSpec) -> list[int]:
+        scenario = self.runner.script
+        if fault.what not in WORKERS | DISPATCHERS:
             return []
-        named, part = resolve_targets(scenario, incident)
-        if not part:
-            return named
-        count = scenario.fleet.dispatchers if incident.what in DISPATCHERS else scenario.fleet.workers
-        # One, where a part of a small fleet is less.
-        most = max(1, round(part * count))
-        order = sorted(range(count), key=lambda one: chance.unit(scenario.seed, "whom", place, one))
-        return sorted(order[:most])
+        targets, percentage = resolve_targets(scenario, fault)
+        if not percentage:
+            return targets
+        count = scenario.fleet.dispatchers if fault.what in DISPATCHERS else scenario.fleet.workers
+        # At least one, also for a small part of a small fleet.
+        target_count = max(1, round(percentage * count))
+        order = sorted(
+            range(count), key=lambda candidate: chance.unit(scenario.seed, "whom", index, candidate)
+        )
+        return sorted(order[:target_count])
 
     def set(self) -> None:
-        """Sets a timer for each begin and end."""
-        host, seed = self.stage.host, self.stage.script.seed
-        for place, (incident, numbers) in enumerate(self.chosen):
-            if incident.what in traffic.TRAFFIC_FAULTS:
+        """Set a timer for the begin of each fault; the fault itself schedules its end."""
+        host, seed = self.runner.host, self.runner.script.seed
+        for index, (fault, numbers) in enumerate(self.targets):
+            if fault.what in traffic.TRAFFIC_FAULTS:
                 continue
-            begins, span = int(incident.at * 1e6), int(incident.length * 1e6)
-            act = getattr(self, "do_" + incident.what.replace("-", "_"))
+            begins, span = int(fault.at * 1e6), int(fault.length * 1e6)
+            act = getattr(self, "do_" + fault.what.replace("-", "_"))
             if not numbers:
-                host.call_at(begins, act, incident, -1, begins + span)
+                host.call_at(begins, act, fault, -1, begins + span)
                 continue
-            for turn, number in enumerate(numbers):
-                at = begins + int(turn * incident.gap * 1e6)
-                late = int(chance.unit(seed, "back", place, number) * incident.spread * 1e6)
-                host.call_at(at, act, incident, number, at + span + late)
+            for order_index, number in enumerate(numbers):
+                at = begins + int(order_index * fault.gap * 1e6)
+                late = int(chance.unit(seed, "back", index, number) * fault.spread * 1e6)
+                host.call_at(at, act, fault, number, at + span + late)
 
-    def later(self, at: int, what: object, *args: object) -> None:
-        self.stage.host.call_at(at, what, *args)  # type: ignore[arg-type]
+    def schedule(self, at: int, callback: object, *args: object) -> None:
+        self.runner.host.call_at(at, callback, *args)  # type: ignore[arg-type]
 
-    # --- the dispatchers' talk
+    # --- datagrams between dispatchers
 
-    def do_talk_cut(self, incident: FaultSpec, number: int, until: int, both: bool = True) -> None:
-        """All that it says and hears goes nowhere."""
-        others = [f"d{one}" for one in range(len(self.stage.dispatchers)) if one != number]
+    def do_talk_cut(self, fault: FaultSpec, number: int, until: int, both: bool = True) -> None:
+        """Drop all datagrams from and, for both ways, to a dispatcher."""
+        others = [f"d{candidate}" for candidate in range(len(self.runner.dispatchers)) if candidate != number]
         pairs = {(f"d{number}", other) for other in others}
         if both:
             pairs |= {(other, f"d{number}") for other in others}
-        net = self.stage.host.talk.net
+        net = self.runner.host.peer_links.net
         net.cut |= pairs
-        self.later(until, net.cut.difference_update, pairs)
+        self.schedule(until, net.cut.difference_update, pairs)
 
-    def do_talk_cut_one_way(self, incident: FaultSpec, number: int, until: int) -> None:
-        self.do_talk_cut(incident, number, until, both=False)
+    def do_talk_cut_one_way(self, fault: FaultSpec, number: int, until: int) -> None:
+        self.do_talk_cut(fault, number, until, both=False)
 
-    def odds(self, name: str, incident: FaultSpec, until: int) -> None:
-        net = self.stage.host.talk.net
-        setattr(net, name, incident.share)
-        self.later(until, setattr, net, name, 0.0)
+    def set_probability(self, name: str, fault: FaultSpec, until: int) -> None:
+        net = self.runner.host.peer_links.net
+        setattr(net, name, fault.share)
+        self.schedule(until, setattr, net, name, 0.0)
 
-    def do_talk_lossy(self, incident: FaultSpec, number: int, until: int) -> None:
-        self.odds("lose", incident, until)
+    def do_talk_lossy(self, fault: FaultSpec, number: int, until: int) -> None:
+        self.set_probability("lose", fault, until)
 
-    def do_talk_late(self, incident: FaultSpec, number: int, until: int) -> None:
-        self.odds("late", incident, until)
+    def do_talk_late(self, fault: FaultSpec, number: int, until: int) -> None:
+        self.set_probability("late", fault, until)
 
-    def do_talk_doubled(self, incident: FaultSpec, number: int, until: int) -> None:
-        self.odds("double", incident, until)
+    def do_talk_doubled(self, fault: FaultSpec, number: int, until: int) -> None:
+        self.set_probability("double", fault, until)
 
-    def do_talk_garbled(self, incident: FaultSpec, number: int, until: int) -> None:
-        self.odds("garble", incident, until)
+    def do_talk_garbled(self, fault: FaultSpec, number: int, until: int) -> None:
+        self.set_probability("garble", fault, until)
 
     # --- workers
 
-    def do_kill(self, incident: FaultSpec, number: int, until: int) -> None:
-        site = self.stage.workers[number]
+    def do_kill(self, fault: FaultSpec, number: int, until: int) -> None:
+        site = self.runner.workers[number]
         site.die()
-        if incident.length:
-            self.later(until, site.come_back)
+        if fault.length:
+            self.schedule(until, site.restart)
 
-    def do_vanish(self, incident: FaultSpec, number: int, until: int) -> None:
-        site = self.stage.workers[number]
+    def do_vanish(self, fault: FaultSpec, number: int, until: int) -> None:
+        site = self.runner.workers[number]
         if not site.worker.up:
             return
-        self.stage.links.cut_machine(site.machine, self.stage.host.now())
-        self.links()
+        self.runner.links.cut_machine(site.machine, self.runner.host.now())
+        self.note_links_changed()
         site.die(silently=True)
 
-        def back() -> None:
-            self.stage.links.heal_machine(site.machine)
-            self.links()
-            site.come_back()
+        def return_cold() -> None:
+            self.runner.links.heal_machine(site.machine)
+            self.note_links_changed()
+            site.restart()
 
-        if incident.length:
-            self.later(until, back)
+        if fault.length:
+            self.schedule(until, return_cold)
 
-    def do_hang(self, incident: FaultSpec, number: int, until: int) -> None:
-        site = self.stage.workers[number]
+    def do_hang(self, fault: FaultSpec, number: int, until: int) -> None:
+        site = self.runner.workers[number]
         if site.worker.up:
             site.hang(until)
 
-    def do_pause(self, incident: FaultSpec, number: int, until: int) -> None:
-        site = self.stage.workers[number]
+    def do_pause(self, fault: FaultSpec, number: int, until: int) -> None:
+        site = self.runner.workers[number]
         if site.worker.up:
             site.pause(until)
 
-    def do_slow(self, incident: FaultSpec, number: int, until: int) -> None:
-        site = self.stage.workers[number]
-        site.slow(incident.factor)
-        self.later(until, site.slow, 1.0 / incident.factor)
+    def do_slow(self, fault: FaultSpec, number: int, until: int) -> None:
+        site = self.runner.workers[number]
+        site.slow(fault.factor)
+        self.schedule(until, site.slow, 1.0 / fault.factor)
 
-    def do_shared_slow(self, incident: FaultSpec, number: int, until: int) -> None:
-        factors = self.stage.shared.factors
-        factors.append(incident.factor)
-        self.stage.reshare()
+    def do_shared_slow(self, fault: FaultSpec, number: int, until: int) -> None:
+        factors = self.runner.shared.factors
+        factors.append(fault.factor)
+        self.runner.apply_shared_slowdown()
 
-        def over() -> None:
-            factors.remove(incident.factor)
-            self.stage.reshare()
+        def restore() -> None:
+            factors.remove(fault.factor)
+            self.runner.apply_shared_slowdown()
 
-        self.later(until, over)
+        self.schedule(until, restore)
 
-    def do_drain(self, incident: FaultSpec, number: int, until: int) -> None:
-        """Drains, ends once it is empty, comes back cold so long after the drain began."""
-        site = self.stage.workers[number]
+    def do_drain(self, fault: FaultSpec, number: int, until: int) -> None:
+        """Drain a worker, end it once it is empty, and restart it cold at `until`."""
+        site = self.runner.workers[number]
         site.drain()
         life = site.life
 
-        def look() -> None:
+        def check_empty() -> None:
             if site.life != life or not site.worker.up:
                 return
-            now = self.stage.host.now()
+            now = self.runner.host.now()
             if site.worker.job_count():
-                self.later(now + LOOK_EVERY, look)
+                self.schedule(now + CHECK_INTERVAL, check_empty)
                 return
             site.die()
-            if incident.length:
-                self.later(max(until, now + LOOK_EVERY), site.come_back)
+            if fault.length:
+                self.schedule(max(until, now + CHECK_INTERVAL), site.restart)
 
-        self.later(self.stage.host.now() + LOOK_EVERY, look)
+        self.schedule(self.runner.host.now() + CHECK_INTERVAL, check_empty)
 
-    def do_reset(self, incident: FaultSpec, number: int, until: int) -> None:
-        self.stage.workers[number].reset_connections()
+    def do_reset(self, fault: FaultSpec, number: int, until: int) -> None:
+        self.runner.workers[number].reset_connections()
 
-    def do_trap(self, incident: FaultSpec, number: int, until: int) -> None:
-        site = self.stage.workers[number]
-        site.trap = incident.point
-        site.trap_back_after = max(1, until - self.stage.host.now())
+    def do_trap(self, fault: FaultSpec, number: int, until: int) -> None:
+        site = self.runner.workers[number]
+        site.trap = fault.point
+        site.trap_downtime = max(1, until - self.runner.host.now())
 
     # --- dispatchers
 
-    def do_kill_dispatcher(self, incident: FaultSpec, number: int, until: int) -> None:
-        self.stage.kill_dispatcher(number)
-        if incident.length:
-            self.later(until, self.stage.start_dispatcher, number)
+    def do_kill_dispatcher(self, fault: FaultSpec, number: int, until: int) -> None:
+        self.runner.kill_dispatcher(number)
+        if fault.length:
+            self.schedule(until, self.runner.start_dispatcher, number)
 
-    def do_trap_dispatcher(self, incident: FaultSpec, number: int, until: int) -> None:
-        away = max(1, until - self.stage.host.now())
-        self.stage.traps[number] = (incident.point, away)
+    def do_trap_dispatcher(self, fault: FaultSpec, number: int, until: int) -> None:
+        away = max(1, until - self.runner.host.now())
+        self.runner.pending_traps[number] = (fault.point, away)
 
-    def do_restart_dispatcher(self, incident: FaultSpec, number: int, until: int) -> None:
-        stage = self.stage
-        stage.stop_dispatcher(number)
-        life, begun = stage.dispatchers[number].life, stage.host.now()
+    def do_restart_dispatcher(self, fault: FaultSpec, number: int, until: int) -> None:
+        runner = self.runner
+        runner.stop_dispatcher(number)
+        life, begun = runner.dispatchers[number].life, runner.host.now()
 
-        def ended() -> None:
-            if stage.dispatchers[number].life != life:
+        def check_ended() -> None:
+            if runner.dispatchers[number].life != life:
                 return
-            if stage.host.dispatcher_runs(number) and stage.host.now() - begun < KILLED_AFTER * 1e6:
-                self.later(stage.host.now() + LOOK_EVERY, ended)
+            if runner.host.dispatcher_runs(number) and runner.host.now() - begun < KILL_DELAY * 1e6:
+                self.schedule(runner.host.now() + CHECK_INTERVAL, check_ended)
                 return
-            if stage.host.dispatcher_runs(number):
-                stage.kill_dispatcher(number)
-            elif stage.dispatchers[number].alive:
-                stage.dispatchers[number].alive = False
-                stage.gone(number)
-            self.later(max(until, stage.host.now() + LOOK_EVERY), stage.start_dispatcher, number)
-
-        self.later(begun + LOOK_EVERY, ended)
-
-    # --- the roster and the links
-
-    def do_roster_stale(self, incident: FaultSpec, number: int, until: int) -> None:
-        """News takes `factor` seconds longer."""
-        by = int(incident.factor * 1e6)
-        for site in self.stage.agent_sites:
-            site.agent.extra_delay += by
-
-        def over() -> None:
-            for site in self.stage.agent_sites:
-                site.agent.extra_delay -= by
+            if runner.host.dispatcher_runs(number):
+                runner.kill_dispatcher(number)
+            elif runner.dispatchers[number].alive:
+                runner.dispatchers[number].alive = False
+                runner.gone(number)
+            self.schedule(max(until, runner.host.now() + CHECK_INTERVAL), runner.start_dispatcher, number)
+
+        self.schedule(begun + CHECK_INTERVAL, check_ended)
+
+    # --- discovery service and links
+
+    def do_roster_stale(self, fault: FaultSpec, number: int, until: int) -> None:
+        """Delay all changes of the endpoint list by `factor` seconds."""
+        extra_delay = int(fault.factor * 1e6)
+        for site in self.runner.agent_sites:
+            site.agent.extra_delay += extra_delay
+
+        def restore() -> None:
+            for site in self.runner.agent_sites:
+                site.agent.extra_delay -= extra_delay
                 site.changed()
 
-        self.later(until, over)
+        self.schedule(until, restore)
 
-    def do_roster_silent(self, incident: FaultSpec, number: int, until: int) -> None:
-        for site in self.stage.agent_sites:
-            site.speak(silent=True)
+    def do_roster_silent(self, fault: FaultSpec, number: int, until: int) -> None:
+        for site in self.runner.agent_sites:
+            site.set_silent(silent=True)
 
-        def over() -> None:
-            for site in self.stage.agent_sites:
-                site.speak(silent=False)
+        def restore() -> None:
+            for site in self.runner.agent_sites:
+                site.set_silent(silent=False)
 
-        self.later(until, over)
+        self.schedule(until, restore)
 
-    def do_partition(self, incident: FaultSpec, number: int, until: int) -> None:
-        zones = [int(word.strip()[4:]) for word in incident.whom.split(",")]
-        stage = self.stage
-        # What the roster has to tell does not get in either.
-        inside = [site for site in stage.agent_sites if stage.zone_of(site.number) in zones]
+    def do_partition(self, fault: FaultSpec, number: int, until: int) -> None:
+        zones = [int(word.strip()[4:]) for word in fault.whom.split(",")]
+        runner = self.runner
+        # Changes of the endpoint list do not reach the cut zones either.
+        inside = [site for site in runner.agent_sites if runner.zone_of(site.number) in zones]
         for zone in zones:
-            stage.links.cut_zone(zone, stage.host.now())
+            runner.links.cut_zone(zone, runner.host.now())
         for site in inside:
-            site.agent.extra_delay += NEVER
-        self.links()
+            site.agent.extra_delay += FAR_FUTURE
+        self.note_links_changed()
 
-        def over() -> None:
+        def restore() -> None:
             for zone in zones:
-                stage.links.heal_zone(zone)
+                runner.links.heal_zone(zone)
             for site in inside:
-                site.agent.extra_delay -= NEVER
+                site.agent.extra_delay -= FAR_FUTURE
                 site.changed()
-            self.links()
+            self.note_links_changed()
 
-        self.later(until, over)
+        self.schedule(until, restore)
 
-    def links(self) -> None:
-        self.links_changed_at = self.stage.host.now()
-        self.stage.host.links_changed()
+    def note_links_changed(self) -> None:
+        self.links_changed_at = self.runner.host.now()
+        self.runner.host.links_changed()
--- a/locktide/simulation/http.py
+++ b/locktide/simulation/http.py
@@ -1,4 +1,4 @@
-"""Our side of a connection on which a stand-in is asked: bytes in, messages out, bytes of the answer back."""
+"""Server side of an HTTP connection to an emulated machine: parses requests, and encodes responses."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     query: str
     fields: dict[str, str]
     body: bytes
-    first_at: int  # when its first byte came
+    first_at: int  # when its first byte arrived
 
 
 class ServerMessages:
-    """Fed bytes; raises h11.RemoteProtocolError at what is no HTTP."""
+    """Parser and encoder of one connection; raises h11.RemoteProtocolError for bytes that are no HTTP."""
 
     def __init__(self) -> None:
         self.machine = h11.Connection(h11.SERVER)
@@ -28,7 +28,7 @@
         self.first_at: int | None = None
 
     def feed(self, data: bytes, now: int) -> Message | None:
-        """The message, once it is whole; the next is given after the answer to it."""
+        """Return the message once it is complete; the next one follows only after the response to it."""
         if self.first_at is None:
             self.first_at = now
         self.machine.receive_data(data)
@@ -58,5 +58,5 @@
         return b"".join(piece or b"" for piece in pieces)
 
 
-def as_json(told: object) -> bytes:
-    return json.dumps(told, separators=(",", ":")).encode()
+def as_json(value: object) -> bytes:
+    return json.dumps(value, separators=(",", ":")).encode()
--- a/locktide/simulation/interfaces.py
+++ b/locktide/simulation/interfaces.py
@@ -1,4 +1,4 @@
-"""What the stand-ins see of each other: the stage, as narrow as each of them needs it."""
+"""What the emulated machines see of the scenario runner: each only the part that it needs."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     life: int = 0
     alive: bool = False
     stopping: bool = False
-    open: dict[str, RequestTry] = field(default_factory=dict)  # what clients have handed in there
+    open: dict[str, RequestTry] = field(default_factory=dict)  # open submissions of the clients there
 
 
 class RunContext(Protocol):
-    """What all of them need."""
+    """What all emulated machines need."""
 
     script: Scenario
     host: Backend
@@ -40,19 +40,19 @@
 
 class ClientContext(RunContext, Protocol):
     dispatchers: list[EmulatedDispatcher]
-    kept_grades: frozenset[str]
-    records: dict[str, int]
+    durable_classes: frozenset[str]
+    durable_counts: dict[str, int]
 
     def links_changed_at(self) -> int:
-        """When a link was last cut or made whole, in microseconds."""
+        """Return when a link was last cut or restored, in microseconds."""
 
-    def waits(self, request: ClientRequest) -> None: ...
+    def record_response_time(self, request: ClientRequest) -> None: ...
 
 
 class WorkerContext(RunContext, Protocol):
     agents: list[DiscoveryAgent]
     half_open: list[Any]  # connections whose worker has vanished
-    sprung: int  # traps that have killed somebody
+    triggered_traps: int  # number of traps that have killed a process
 
     def zone_of(self, number: int) -> int: ...
 
@@ -62,9 +62,9 @@
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]: ...
 
-    def could_have_ended(self, came: ReceivedAttempt) -> bool: ...
+    def could_have_ended(self, received: ReceivedAttempt) -> bool: ...
 
-    def held_back(self, one: Machine, other: Machine, came_at: int) -> int | None: ...
+    def held_back(self, source: Machine, target: Machine, came_at: int) -> int | None: ...
 
     def list_change(self, entry: ListedWorker, state: str, after: float) -> None: ...
 
@@ -72,4 +72,4 @@
 
     def pause_later(self, site: Any) -> None: ...
 
-    def dispatcher_at(self, number: int, point: str) -> None: ...
+    def reach_crash_point(self, number: int, point: str) -> None: ...
--- a/locktide/simulation/outcome.py
+++ b/locktide/simulation/outcome.py
@@ -1,6 +1,4 @@
-"""What came of a rehearsal, as one table of plain values: the same for the same stage, whoever draws or
-prints it.
-"""
+"""The outcome of a run as a table of plain values, from which all reports are made."""
 
 from __future__ import annotations
 
@@ -8,23 +6,23 @@
 from collections.abc import Iterable
 from typing import Any
 
-from locktide.simulation.cluster_report import breaches
+from locktide.simulation.cluster_report import count_cluster_violations
 from locktide.simulation.model import traffic
 from locktide.simulation.model.checker import RULE_MEANINGS
 from locktide.simulation.model.traffic import ClientRequest
 from locktide.simulation.scenario_runner import ScenarioRunner
 
 FORMAT = 1
-WINDOW_S = 5  # of the shape; the platform's bench prints its incidents in such windows
+WINDOW_S = 5  # seconds; the platform's bench prints its incidents in windows of this length too
 WORST_S = 10
 PERCENTILES = (50, 90, 99, 100)
 
 
-def share(part: float, whole: float) -> float | None:
+def ratio(part: float, whole: float) -> float | None:
     return round(part / whole, 6) if whole else None
 
 
-def on_time(requests: Iterable[ClientRequest]) -> float:
+def revenue_on_time(requests: Iterable[ClientRequest]) -> float:
     return sum(
         request.revenue
         for request in requests
@@ -33,22 +31,22 @@
 
 
 def service(requests: Iterable[ClientRequest]) -> float | None:
-    """Revenue answered within the soft limit over revenue asked for."""
+    """Return the part of the revenue whose response met the latency objective; None without requests."""
     requests = list(requests)
-    return share(on_time(requests), sum(request.revenue for request in requests))
+    return ratio(revenue_on_time(requests), sum(request.revenue for request in requests))
 
 
-def asked(stage: ScenarioRunner) -> list[ClientRequest]:
-    """What was asked for by clients that stayed: who goes away by himself cannot be served."""
+def counted_requests(runner: ScenarioRunner) -> list[ClientRequest]:
+    """Return the requests that count: not those whose clients disconnected, as these cannot be served."""
     return [
         request
-        for request in stage.asks
+        for request in runner.asks
         if request.tries and request.tries[-1].ended not in ("", traffic.CLOSED)
     ]
 
 
-def worst(requests: list[ClientRequest], length: float) -> float | None:
-    """Service of the worst ten seconds, by when it was asked for."""
+def worst_window_service(requests: list[ClientRequest], length: float) -> float | None:
+    """Return the service of the worst ten seconds, by the time of the requests."""
     found = []
     for begin in range(max(1, int(length) - WORST_S + 1)):
         window = [request for request in requests if begin <= request.at / 1e6 < begin + WORST_S]
@@ -58,32 +56,34 @@
     return min(found, default=None)
 
 
-def windows(requests: list[ClientRequest], length: float, span: int = WINDOW_S) -> list[float | None]:
+def service_by_window(
+    requests: list[ClientRequest], length: float, span: int = WINDOW_S
+) -> list[float | None]:
     return [
         service(request for request in requests if begin <= request.at / 1e6 < begin + span)
         for begin in range(0, max(1, int(length)), span)
     ]
 
 
-def waits(stage: ScenarioRunner) -> dict[str, dict[str, float]]:
-    """Seconds from the first try to the answer, of what was done."""
+def response_times(runner: ScenarioRunner) -> dict[str, dict[str, float]]:
+    """Return the seconds from first submission to response by service class, for successful requests."""
     return {
         grade: {
             **{f"p{part}": round(histogram.get_value_at_percentile(part) / 1e6, 4) for part in PERCENTILES},
             "done": histogram.get_total_count(),
         }
-        for grade, histogram in stage.wait_by.items()
+        for grade, histogram in runner.response_times.items()
     }
 
 
-def of(stage: ScenarioRunner, host: str, complete: bool = True) -> dict[str, Any]:
-    """All figures are of an emulated fleet."""
-    scenario, requests = stage.script, asked(stage)
-    ends = Counter(submission.ended or "open" for submission in stage.tries.values())
+def summarize(runner: ScenarioRunner, host: str, complete: bool = True) -> dict[str, Any]:
+    """Return the outcome of a run; all figures are of an emulated fleet."""
+    scenario, requests = runner.script, counted_requests(runner)
+    endings = Counter(submission.ended or "open" for submission in runner.tries.values())
     by_grade = {
         grade.name: [request for request in requests if request.grade is grade] for grade in scenario.grade
     }
-    checker = stage.checker
+    checker = runner.checker
     return {
         "format": FORMAT,
         "emulated": True,
@@ -94,56 +94,60 @@
         "length_s": scenario.length,
         "fleet": {"dispatchers": scenario.fleet.dispatchers, "workers": scenario.fleet.workers},
         "service": service(requests),
-        "service_with_late": share(
+        "service_with_late": ratio(
             sum(request.earned() for request in requests), sum(request.revenue for request in requests)
         ),
-        "worst_10s": worst(requests, scenario.length),
-        "by_grade": {name: service(some) for name, some in by_grade.items()},
-        "windows_5s": windows(requests, scenario.length),
+        "worst_10s": worst_window_service(requests, scenario.length),
+        "by_grade": {name: service(class_requests) for name, class_requests in by_grade.items()},
+        "windows_5s": service_by_window(requests, scenario.length),
         "jobs": len(requests),
-        "submissions": len(stage.tries),
-        "answers": dict(sorted(ends.items())),
-        "waits_s": waits(stage),
+        "submissions": len(runner.tries),
+        "answers": dict(sorted(endings.items())),
+        "waits_s": response_times(runner),
         "rules": dict(checker.counts),
         "broken": [
             {
-                "at_s": round(one.at / 1e6, 3),
-                "rule": one.rule,
-                "meaning": RULE_MEANINGS[one.rule],
-                "what": one.what,
+                "at_s": round(entry.at / 1e6, 3),
+                "rule": entry.rule,
+                "meaning": RULE_MEANINGS[entry.rule],
+                "what": entry.what,
             }
-            for one in checker.violations
+            for entry in checker.violations
         ],
-        "durable": {"kills": stage.kills, "points": stage.sprung, **stage.records}
-        if stage.kept_grades
+        "durable": {
+            "kills": runner.dispatcher_kills,
+            "points": runner.triggered_traps,
+            **runner.durable_counts,
+        }
+        if runner.durable_classes
         else None,
         "fell_over": checker.other_counts["fell over"],
-        "crashed": stage.crashed,
+        "crashed": runner.crashed,
         "doubled_records": checker.other_counts["doubled records"],
         "incidents": [
             {
                 "at_s": incident.at,
                 "for_s": incident.length,
                 "what": incident.what,
-                "whom": [f"{'d' if 'dispatcher' in incident.what else 'w'}{one}" for one in numbers],
+                "whom": [f"{'d' if 'dispatcher' in incident.what else 'w'}{entry}" for entry in numbers],
             }
-            for incident, numbers in stage.timeline.chosen
+            for incident, numbers in runner.timeline.targets
         ],
         "over_time": [
             {
-                "at_s": round(one.at / 1e6, 2),
-                "outstanding": one.outstanding,
-                "queued": one.queued,
-                "running": one.running,
-                "up": one.up,
-                "cold": one.cold,
-                "slowed": one.slowed,
-                "dispatchers": one.dispatchers,
+                "at_s": round(entry.at / 1e6, 2),
+                "outstanding": entry.outstanding,
+                "queued": entry.queued,
+                "running": entry.running,
+                "up": entry.up,
+                "cold": entry.cold,
+                "slowed": entry.slowed,
+                "dispatchers": entry.dispatchers,
             }
-            for one in stage.samples
+            for entry in runner.samples
         ],
     }
 
 
-def broken(told: dict[str, Any]) -> int:
-    return int(sum(told["rules"].values())) + breaches(told.get("accord"))
+def count_violations(outcome: dict[str, Any]) -> int:
+    return int(sum(outcome["rules"].values())) + count_cluster_violations(outcome.get("accord"))
--- a/locktide/simulation/peer_links.py
+++ b/locktide/simulation/peer_links.py
@@ -1,4 +1,4 @@
-"""What happens to dispatchers' talk in a rehearsal: cut, lost, late, doubled, garbled, beside the links."""
+"""Faults of datagrams between dispatchers: cut, lost, late, doubled or garbled, beside the link delays."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from locktide.simulation.cluster.virtual_cluster import ClusterNetwork
 
-LATE = 1_000_000  # microseconds that a late datagram takes at most
+MAX_LATE_DELAY = 1_000_000  # largest extra delay of a late datagram, in microseconds
 
 
 class PeerLinks:
-    """By the names of dispatchers, with the odds of `world.Net`; drawn from the script's seed."""
+    """Links by the names of dispatchers, with the probabilities of `ClusterNetwork`, drawn from a seed."""
 
     def __init__(self, seed: int) -> None:
         self.net, self.random = ClusterNetwork(), Random(seed)
         self.passed = self.lost = 0
 
     def carried(self, sender: str, receiver: str, delay: int, data: bytes) -> list[tuple[int, bytes]]:
-        """Each copy of a datagram that comes, with its delay in microseconds."""
+        """Return each copy of a datagram that arrives, with its delay in microseconds."""
         net, random = self.net, self.random
         self.passed += 1
         if (sender, receiver) in net.cut or random.random() < net.lose:
@@ -28,6 +28,6 @@
             data = data[:place] + bytes([data[place] ^ 1 << random.randrange(8)]) + data[place + 1 :]
         copies = 2 if random.random() < net.double else 1
         return [
-            (delay + (random.randrange(LATE) if random.random() < net.late else 0), data)
+            (delay + (random.randrange(MAX_LATE_DELAY) if random.random() < net.late else 0), data)
             for _ in range(copies)
         ]
--- a/locktide/simulation/plots.py
+++ b/locktide/simulation/plots.py
@@ -1,4 +1,4 @@
-"""An outcome drawn over time, as PNG files and as one HTML page that needs nothing beside it."""
+"""The report of a run: plots over time as PNG files, and one self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -26,56 +26,56 @@
 """
 
 
-def axes(told: dict[str, Any], title: str, unit: str) -> tuple[Figure, Any]:
+def axes(outcome: dict[str, Any], title: str, unit: str) -> tuple[Figure, Any]:
     figure = Figure(figsize=(WIDE, HIGH), layout="constrained")
-    place = figure.subplots()
-    place.set_title(title, loc="left", fontsize=10)
-    place.set_xlabel("seconds", fontsize=8)
-    place.set_ylabel(unit, fontsize=8)
-    place.tick_params(labelsize=8)
-    place.set_xlim(0, max(told["length_s"], *(one["at_s"] for one in told["over_time"]), 1.0))
-    for number, one in enumerate(told["incidents"]):
+    axis = figure.subplots()
+    axis.set_title(title, loc="left", fontsize=10)
+    axis.set_xlabel("seconds", fontsize=8)
+    axis.set_ylabel(unit, fontsize=8)
+    axis.tick_params(labelsize=8)
+    axis.set_xlim(0, max(outcome["length_s"], *(entry["at_s"] for entry in outcome["over_time"]), 1.0))
+    for number, entry in enumerate(outcome["incidents"]):
         shade = SHADES[number % len(SHADES)]
-        place.axvspan(one["at_s"], one["at_s"] + max(one["for_s"], 0.15), color=shade, alpha=0.13, lw=0)
-        place.annotate(
-            one["what"],
-            (one["at_s"], 1.0 - 0.11 * (number % 4)),
+        axis.axvspan(entry["at_s"], entry["at_s"] + max(entry["for_s"], 0.15), color=shade, alpha=0.13, lw=0)
+        axis.annotate(
+            entry["what"],
+            (entry["at_s"], 1.0 - 0.11 * (number % 4)),
             xycoords=("data", "axes fraction"),
             fontsize=7,
             color=shade,
             va="top",
         )
-    return figure, place
+    return figure, axis
 
 
-def service(told: dict[str, Any]) -> Figure:
-    figure, place = axes(told, "Service, by when it was asked for (5 s windows)", "part of the revenue")
-    shape = told["windows_5s"]
-    edges = [5 * number for number in range(len(shape) + 1)]
-    place.stairs([value or 0.0 for value in shape], edges, color="#111827", fill=False, lw=1.6)
-    place.set_ylim(0, 1.05)
+def service(outcome: dict[str, Any]) -> Figure:
+    figure, axis = axes(outcome, "Service, by when it was asked for (5 s windows)", "part of the revenue")
+    values = outcome["windows_5s"]
+    edges = [5 * number for number in range(len(values) + 1)]
+    axis.stairs([value or 0.0 for value in values], edges, color="#111827", fill=False, lw=1.6)
+    axis.set_ylim(0, 1.05)
     return figure
 
 
-def lines(told: dict[str, Any], title: str, names: dict[str, str]) -> Figure:
-    figure, place = axes(told, title, "")
-    times = [one["at_s"] for one in told["over_time"]]
-    for shade, (name, says) in zip(SHADES, names.items(), strict=False):
-        place.plot(times, [one[name] for one in told["over_time"]], color=shade, label=says, lw=1.3)
-    place.set_ylim(bottom=0)
-    place.legend(fontsize=7, loc="upper right")
+def lines(outcome: dict[str, Any], title: str, names: dict[str, str]) -> Figure:
+    figure, axis = axes(outcome, title, "")
+    times = [entry["at_s"] for entry in outcome["over_time"]]
+    for shade, (name, label) in zip(SHADES, names.items(), strict=False):
+        axis.plot(times, [entry[name] for entry in outcome["over_time"]], color=shade, label=label, lw=1.3)
+    axis.set_ylim(bottom=0)
+    axis.legend(fontsize=7, loc="upper right")
     return figure
 
 
-def figures(told: dict[str, Any]) -> dict[str, Figure]:
+def figures(outcome: dict[str, Any]) -> dict[str, Figure]:
     return {
-        "service": service(told),
+        "service": service(outcome),
         "outstanding": lines(
-            told, "Outstanding work", {"outstanding": "submissions open", "running": "jobs that run"}
+            outcome, "Outstanding work", {"outstanding": "submissions open", "running": "jobs that run"}
         ),
-        "queue": lines(told, "Queue at the workers", {"queued": "jobs that wait"}),
+        "queue": lines(outcome, "Queue at the workers", {"queued": "jobs that wait"}),
         "health": lines(
-            told,
+            outcome,
             "Health",
             {"up": "workers up", "cold": "cold", "slowed": "slowed or paused", "dispatchers": "dispatchers"},
         ),
@@ -101,50 +101,55 @@
     return f"<table><tr>{top}</tr>{body}</table>"
 
 
-def page(told: dict[str, Any], pictures: dict[str, bytes]) -> str:
-    waits = told["waits_s"]
+def page(outcome: dict[str, Any], pictures: dict[str, bytes]) -> str:
+    waits = outcome["waits_s"]
     grades = [
         [name, "-" if value is None else value, waits[name]["done"], waits[name]["p50"], waits[name]["p99"]]
-        for name, value in told["by_grade"].items()
+        for name, value in outcome["by_grade"].items()
+    ]
+    grades.append(["all", "-" if outcome["service"] is None else outcome["service"], "", "", ""])
+    grades.append(["worst 10 s", "-" if outcome["worst_10s"] is None else outcome["worst_10s"], "", "", ""])
+    incidents = [
+        [entry["at_s"], entry["for_s"], entry["what"], " ".join(entry["whom"])]
+        for entry in outcome["incidents"]
     ]
-    grades.append(["all", "-" if told["service"] is None else told["service"], "", "", ""])
-    grades.append(["worst 10 s", "-" if told["worst_10s"] is None else told["worst_10s"], "", "", ""])
-    incidents = [[one["at_s"], one["for_s"], one["what"], " ".join(one["whom"])] for one in told["incidents"]]
     warnings = []
-    if sum(told["rules"].values()):
+    if sum(outcome["rules"].values()):
         warnings.append("A rule was broken.")
-    if not told.get("counts", True):
+    if not outcome.get("counts", True):
         warnings.append("The machine was too busy: this run does not count.")
-    if not told["complete"]:
-        warnings.append("Interrupted: the figures are of the part that was played.")
-    shown = "".join(
+    if not outcome["complete"]:
+        warnings.append("Interrupted: the figures cover only the part that was run.")
+    images = "".join(
         f'<h2>{name}</h2><img alt="{name}" src="data:image/png;base64,{base64.b64encode(data).decode()}">'
         for name, data in pictures.items()
     )
     tables = (
         table(["service grade", "service", "done", "half wait s", "99% wait s"], grades)
-        + table(["rule", "broken"], [[name, count] for name, count in told["rules"].items()])
+        + table(["rule", "broken"], [[name, count] for name, count in outcome["rules"].items()])
         + table(["at s", "for s", "incident", "whom"], incidents)
     )
-    if told["broken"]:
-        tables += table(["at s", "rule", "what"], [[b["at_s"], b["rule"], b["what"]] for b in told["broken"]])
+    if outcome["broken"]:
+        tables += table(
+            ["at s", "rule", "what"], [[b["at_s"], b["rule"], b["what"]] for b in outcome["broken"]]
+        )
     return PAGE.format(
-        title=html.escape(f"Rehearsal {told['name']}, seed {told['seed']}"),
-        says=html.escape(f"Played in {told['host']} against an emulated fleet: all figures are emulated."),
+        title=html.escape(f"Rehearsal {outcome['name']}, seed {outcome['seed']}"),
+        says=html.escape(f"Run in {outcome['host']} against an emulated fleet: all figures are emulated."),
         warning="".join(f'<p class="bad">{html.escape(line)}</p>' for line in warnings),
         tables=tables,
-        pictures=shown,
-        raw=html.escape(json.dumps(told, indent=1)),
+        pictures=images,
+        raw=html.escape(json.dumps(outcome, indent=1)),
     )
 
 
-def write(told: dict[str, Any], folder: Path) -> Path:
-    """The JSON, the plots and the page, into a folder that is made; gives the page's path."""
+def write(outcome: dict[str, Any], folder: Path) -> Path:
+    """Write the JSON, the plots and the page into a folder, which is created; return the path of the page."""
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / "outcome.json").write_text(json.dumps(told, indent=1) + "\n", encoding="utf-8")
-    pictures = {name: as_png(figure) for name, figure in figures(told).items()}
+    (folder / "outcome.json").write_text(json.dumps(outcome, indent=1) + "\n", encoding="utf-8")
+    pictures = {name: as_png(figure) for name, figure in figures(outcome).items()}
     for name, data in pictures.items():
         (folder / f"{name}.png").write_bytes(data)
     path = folder / "report.html"
-    path.write_text(page(told, pictures), encoding="utf-8")
+    path.write_text(page(outcome, pictures), encoding="utf-8")
     return path
--- a/locktide/simulation/process_backend.py
+++ b/locktide/simulation/process_backend.py
@@ -1,6 +1,4 @@
-"""The host on loopback: dispatchers as processes of `python -m locktide`, stand-ins on real sockets, real
-time.
-"""
+"""Backend on loopback: dispatchers as processes of `python -m locktide`, real sockets and real time."""
 
 from __future__ import annotations
 
@@ -26,19 +24,20 @@
 from locktide.simulation.model.network import Machine, NetworkLinks
 from locktide.simulation.peer_links import PeerLinks
 
-# A run counts only if our own loop kept up: it looks every so often how late it was woken. A wake later than
-# LATE is seen in the waits; more than one in a hundred, or one by VERY_LATE, moves the figures. Seconds.
-LOOK_EVERY, LATE, VERY_LATE, MOST_LATE = 0.02, 0.05, 0.5, 0.01
-TICKS = os.sysconf("SC_CLK_TCK")
-NETS = range(2, 250)
+# A run counts only if the event loop of this process kept up, which is checked by how late it is woken. A
+# wake later than LATE_WAKE shows in response times; more than MAX_LATE_PART of such wakes, or one wake later
+# than VERY_LATE_WAKE, falsify the figures. Seconds, but for MAX_LATE_PART.
+WAKE_CHECK_INTERVAL, LATE_WAKE, VERY_LATE_WAKE, MAX_LATE_PART = 0.02, 0.05, 0.5, 0.01
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
+LOOPBACK_NETS = range(2, 250)
 
 
 class NoAddressError(OSError):
-    """No part of 127.0.0.0/8 is free for a rehearsal."""
+    """No part of 127.0.0.0/8 is free for a run."""
 
 
 class DelayedListener:
-    """One listening place. Over a cut link it stands full, so that connections never come up."""
+    """A listening socket; while its link is cut its queue is full, so that no connection is established."""
 
     def __init__(
         self,
@@ -50,7 +49,7 @@
     ) -> None:
         self.host, self.here, self.there, self.address, self.factory = host, here, there, address, factory
         self.server: asyncio.Server | None = None
-        self.wall: list[socket.socket] = []
+        self.blocking_sockets: list[socket.socket] = []
         self.closed = False
 
     async def open(self) -> None:
@@ -64,38 +63,38 @@
 
     def links_changed(self) -> None:
         cut = self.host.links.cut(self.here, self.there)
-        if cut and not self.wall and not self.closed:
+        if cut and not self.blocking_sockets and not self.closed:
             if self.server is not None:
                 self.server.close()
-            # A full queue of connections that nobody accepts: the kernel drops what else would come.
+            # A full queue of connections that are never accepted: the kernel drops further ones.
             full = socket.create_server(self.address, backlog=0)
-            self.wall = [full]
+            self.blocking_sockets = [full]
             for _ in range(3):
-                one = socket.socket()
-                one.setblocking(False)
+                blocking_socket = socket.socket()
+                blocking_socket.setblocking(False)
                 with suppress(BlockingIOError):
-                    one.connect(self.address)
-                self.wall.append(one)
-        elif not cut and self.wall:
-            self.unwall()
+                    blocking_socket.connect(self.address)
+                self.blocking_sockets.append(blocking_socket)
+        elif not cut and self.blocking_sockets:
+            self.unblock()
             if not self.closed:
                 self.host.spawn(self.open())
 
-    def unwall(self) -> None:
-        for one in self.wall:
-            one.close()
-        self.wall.clear()
+    def unblock(self) -> None:
+        for blocking_socket in self.blocking_sockets:
+            blocking_socket.close()
+        self.blocking_sockets.clear()
 
     def close(self) -> None:
         self.closed = True
-        self.unwall()
+        self.unblock()
         if self.server is not None:
             self.server.close()
-        self.host.doors.pop(self, None)
+        self.host.listeners.pop(self, None)
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
-    """All talk that goes to one dispatcher."""
+    """Relay of all datagrams to one dispatcher."""
 
     transport: asyncio.DatagramTransport
 
@@ -110,55 +109,57 @@
         if sender is None or host.links.cut(sender, self.target):
             return
         delay = host.links.delay(sender, self.target)
-        for after, copy in host.talk.carried(f"d{sender.number}", f"d{self.target.number}", delay, data):
+        for after, copy in host.peer_links.carried(
+            f"d{sender.number}", f"d{self.target.number}", delay, data
+        ):
             host.loop.call_later(after / 1e6, self.send, copy)
 
     def send(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.transport.sendto(data, (self.host.address(self.target), TALK_PORT))
 
-    def error_received(self, trouble: Exception) -> None:
-        pass  # nobody listens there just now
+    def error_received(self, error: Exception) -> None:
+        pass  # the dispatcher does not listen at the moment
 
 
 class ProcessBackend:
     links: NetworkLinks
-    slack = 30_000  # microseconds by which two processes of one machine may see a moment differently
+    slack = 30_000  # microseconds by which two processes of one machine may see the same event apart
 
     def __init__(self, program: Path, folder: Path) -> None:
-        """`program` is the checkout whose locktide is run, `folder` takes configurations and logs."""
+        """Create a backend; `program` is the checkout to run, configurations and logs go to `folder`."""
         self.program, self.folder = program, folder
         self.loop = asyncio.get_running_loop()
         self.begun, self.unix_begun = self.loop.time(), time.time()
-        self.ways: dict[DelayedDirection, None] = {}
-        self.doors: dict[DelayedListener, None] = {}
-        self.whole = asyncio.Event()  # set at each change of the links
+        self.directions: dict[DelayedDirection, None] = {}
+        self.listeners: dict[DelayedListener, None] = {}
+        self.links_changed_event = asyncio.Event()  # set, and replaced, at each change of the links
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
-        # Where jobs are durable: what a dispatcher is told, as an installation's file with that directory.
+        # With durable jobs or a cluster: renders a start document as an installation file.
         self.as_file: Callable[[dict[str, Any], Path, ClusterSection | None], str] | None = None
-        # Where dispatchers agree: the accord of one, by where it listens and is reached, and its trace.
-        self.agree: Callable[[int, Path], ClusterSection] | None = None
-        self.talk = PeerLinks(os.getpid())
-        self.reached: dict[int, asyncio.DatagramTransport] = {}
-        self.told_at: dict[int, str] = {}
+        # With a cluster: returns the cluster section of a dispatcher, by its number and trace path.
+        self.cluster_for: Callable[[int, Path], ClusterSection] | None = None
+        self.peer_links = PeerLinks(os.getpid())
+        self.relays: dict[int, asyncio.DatagramTransport] = {}
+        self.inspection_hosts: dict[int, str] = {}
         self.lives: list[tuple[int, Path, subprocess.Popen[bytes]]] = []
-        self.files: dict[int, Path] = {}  # what each dispatcher was started with
+        self.files: dict[int, Path] = {}  # the start file of each dispatcher
         self.ended_at: dict[int, int] = {}  # by process id
         self.starts = 0
         self.tasks: dict[asyncio.Task[Any], None] = {}
-        self.net = self.free_net()
-        self.wakes = self.late = 0
-        self.most_late = 0.0
+        self.net = self.find_free_net()
+        self.wake_count = self.late_wakes = 0
+        self.max_lateness = 0.0
         self.memory: dict[int, float] = {}
         self.cpu: dict[int, float] = {}  # seconds, by process id
         self.descriptors = 0
         self.spawn(self.watch())
 
     @staticmethod
-    def free_net() -> int:
-        """A part of loopback of its own, so that two rehearsals at once do not meet."""
-        for place in range(len(NETS)):
-            net = NETS[(os.getpid() + place) % len(NETS)]
+    def find_free_net() -> int:
+        """Return a free block of loopback addresses, so that concurrent runs do not interfere."""
+        for place in range(len(LOOPBACK_NETS)):
+            net = LOOPBACK_NETS[(os.getpid() + place) % len(LOOPBACK_NETS)]
             with suppress(OSError), socket.socket() as probe:
                 probe.bind((f"127.{net}.99.1", DISPATCHER_PORT))
                 return net
@@ -169,18 +170,18 @@
         self.tasks[task] = None
         task.add_done_callback(lambda done: self.tasks.pop(done, None))
 
-    # --- the host
+    # --- the backend
 
     def now(self) -> int:
         return int((self.loop.time() - self.begun) * 1e6)
 
-    def unix(self, at: int) -> int:
+    def unix_time(self, at: int) -> int:
         return int(self.unix_begun * 1e6) + at
 
     def begin(self) -> None:
         self.begun, self.unix_begun = self.loop.time(), time.time()
-        self.wakes = self.late = 0
-        self.most_late = 0.0
+        self.wake_count = self.late_wakes = 0
+        self.max_lateness = 0.0
 
     def call_at(self, at: int, what: Callable[..., Any], *args: Any) -> asyncio.TimerHandle:
         return self.loop.call_at(self.begun + at / 1e6, what, *args)
@@ -191,47 +192,49 @@
     async def listen(
         self, here: Machine, there: Machine, address: Address, factory: Callable[[], asyncio.Protocol]
     ) -> DelayedListener:
-        door = DelayedListener(self, here, there, address, factory)
-        self.doors[door] = None
-        await door.open()
-        return door
+        listener = DelayedListener(self, here, there, address, factory)
+        self.listeners[listener] = None
+        await listener.open()
+        return listener
 
     async def connect(
         self, here: Machine, there: Machine, address: Address
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         while self.links.cut(here, there):
-            await self.whole.wait()
-        # The handshake's way there and back; the connection itself takes no time here.
+            await self.links_changed_event.wait()
+        # The round trip of the handshake; the connection itself takes no time on loopback.
         await asyncio.sleep((self.links.delay(here, there) + self.links.delay(there, here)) / 1e6)
         reader = asyncio.StreamReader()
         inner = asyncio.StreamReaderProtocol(reader)
-        _, lagged = await self.loop.create_connection(
+        _, protocol = await self.loop.create_connection(
             lambda: DelayedProtocol(self, here, there, inner), *address, local_addr=(self.address(here), 0)
         )
-        return reader, asyncio.StreamWriter(lagged.facade, inner, reader, self.loop)
+        return reader, asyncio.StreamWriter(protocol.facade, inner, reader, self.loop)
 
     def reset(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, DelayedTransport)
         transport.reset()
 
     def links_changed(self) -> None:
-        for door in list(self.doors):
-            door.links_changed()
-        for way in list(self.ways):
-            way.healed()
-        self.whole.set()
-        self.whole = asyncio.Event()
-
-    def start_dispatcher(self, number: int, told: dict[str, Any]) -> None:
+        for listener in list(self.listeners):
+            listener.links_changed()
+        for direction in list(self.directions):
+            direction.links_restored()
+        self.links_changed_event.set()
+        self.links_changed_event = asyncio.Event()
+
+    def start_dispatcher(self, number: int, start_config: dict[str, Any]) -> None:
         self.starts += 1
         path = self.folder / f"d{number}-{self.starts}.json"
         command = [sys.executable, "-m", "locktide"]
         if self.as_file is None:
-            path.write_text(json.dumps(told), encoding="utf-8")
+            path.write_text(json.dumps(start_config), encoding="utf-8")
         else:
             path = path.with_suffix(".toml")
-            accord = self.agree(number, path.with_suffix(".trace")) if self.agree is not None else None
-            text = self.as_file(told, self.folder / f"jobs-d{number}", accord)
+            cluster_section = (
+                self.cluster_for(number, path.with_suffix(".trace")) if self.cluster_for is not None else None
+            )
+            text = self.as_file(start_config, self.folder / f"jobs-d{number}", cluster_section)
             path.write_text(text, encoding="utf-8")
             command = [sys.executable, "-m", "locktide.cli.main", "serve", str(path)]
         environment = {
@@ -254,17 +257,17 @@
     def stop_dispatcher(self, number: int) -> None:
         self.processes[number].terminate()
 
-    def reload_dispatcher(self, number: int, told: dict[str, Any]) -> bool:
-        """Replace the start file in one step, and send SIGHUP; return True, as it is always taken."""
+    def reload_dispatcher(self, number: int, start_config: dict[str, Any]) -> bool:
+        """Replace the start file atomically, and send SIGHUP; return True, as the file is always applied."""
         path = self.files[number]
-        beside = path.with_suffix(".new")
-        beside.write_text(json.dumps(told), encoding="utf-8")
-        beside.replace(path)
+        new_path = path.with_suffix(".new")
+        new_path.write_text(json.dumps(start_config), encoding="utf-8")
+        new_path.replace(path)
         self.processes[number].send_signal(signal.SIGHUP)
         return True
 
     def hold_up_dispatcher(self, number: int, seconds: float) -> None:
-        """Let a dispatcher get no processor for so long; what is sent to it comes all the same."""
+        """Give a dispatcher no processor for so long; what is sent to it still arrives."""
         process = self.processes[number]
         process.send_signal(signal.SIGSTOP)
         self.loop.call_later(seconds, process.send_signal, signal.SIGCONT)
@@ -277,31 +280,31 @@
         process.wait()
         self.ended_at.setdefault(process.pid, time.monotonic_ns() // 1000)
 
-    # --- the dispatchers' talk
+    # --- datagrams between dispatchers
 
-    async def open_talk(self, machines: list[Machine]) -> None:
-        """Each is reached at a port of ours, from which what comes goes on to it as the script says."""
+    async def open_peer_links(self, machines: list[Machine]) -> None:
+        """Open a relay for each dispatcher, at which others reach it, and which applies links and faults."""
         names = {self.address(machine): machine for machine in machines}
         for machine in machines:
             here = self.address(machine)
             transport, _ = await self.loop.create_datagram_endpoint(
                 partial(PeerDatagrams, self, names, machine), local_addr=(here, REACH_PORT)
             )
-            self.reached[machine.number] = transport
-            self.told_at[machine.number] = here
+            self.relays[machine.number] = transport
+            self.inspection_hosts[machine.number] = here
 
     async def digests(self) -> list[str]:
-        """Of the ledgers of all dispatchers that live, as each tells it."""
+        """Return the digests of the fairness ledgers of all live dispatchers, by inspection."""
         found = []
         for number, (_, process) in {number: (path, process) for number, path, process in self.lives}.items():
             if process.poll() is None:
                 with suppress(OSError, TimeoutError, ValueError):
-                    seen = await inspect_member((self.told_at[number], TALK_PORT))
-                    found.append(str(seen["ledger"].get("digest", "")))
+                    inspected = await inspect_member((self.inspection_hosts[number], TALK_PORT))
+                    found.append(str(inspected["ledger"].get("digest", "")))
         return found
 
     def traced(self) -> tuple[list[QuotaTrace], int]:
-        """What dispatchers traced, and when the rehearsal began by its clock."""
+        """Return the traces of all dispatchers, and when the run began by the clock of the traces."""
         return [
             QuotaTrace(
                 number,
@@ -317,28 +320,28 @@
     async def clear_away(self) -> None:
         for number in self.processes:
             self.kill_dispatcher(number)
-        for transport in self.reached.values():
+        for transport in self.relays.values():
             transport.close()
-        for door in list(self.doors):
-            door.close()
-        for way in list(self.ways):
-            way.end()
+        for listener in list(self.listeners):
+            listener.close()
+        for direction in list(self.directions):
+            direction.end()
         for task in list(self.tasks):
             task.cancel()
         await asyncio.sleep(0)
 
-    # --- how it went
+    # --- measurements
 
     async def watch(self) -> None:
-        """How late this process is woken, and what the dispatchers use."""
+        """Measure how late this process is woken, and the resources that dispatchers use."""
         measured = self.loop.time()
         while True:
-            due = self.loop.time() + LOOK_EVERY
-            await asyncio.sleep(LOOK_EVERY)
-            late = self.loop.time() - due
-            self.wakes += 1
-            self.late += late > LATE
-            self.most_late = max(self.most_late, late)
+            due = self.loop.time() + WAKE_CHECK_INTERVAL
+            await asyncio.sleep(WAKE_CHECK_INTERVAL)
+            lateness = self.loop.time() - due
+            self.wake_count += 1
+            self.late_wakes += lateness > LATE_WAKE
+            self.max_lateness = max(self.max_lateness, lateness)
             if self.loop.time() - measured >= 1.0:
                 measured = self.loop.time()
                 for process in self.processes.values():
@@ -357,19 +360,21 @@
         return sorted(lines)
 
     def measure(self, process: subprocess.Popen[bytes]) -> None:
-        """From /proc; a process that is just ending says nothing."""
+        """Read the resources of a process from /proc; skip one that is just ending."""
         with suppress(OSError, ValueError, IndexError):
             root = Path(f"/proc/{process.pid}")
             for line in (root / "status").read_text().splitlines():
                 if line.startswith("VmHWM:"):
                     self.memory[process.pid] = int(line.split()[1]) / 1024
             after = (root / "stat").read_text().rpartition(")")[2].split()
-            self.cpu[process.pid] = (int(after[11]) + int(after[12])) / TICKS
+            self.cpu[process.pid] = (int(after[11]) + int(after[12])) / CLOCK_TICKS
             self.descriptors = max(self.descriptors, len(os.listdir(root / "fd")))
 
     @property
     def kept_up(self) -> bool:
-        return self.most_late < VERY_LATE and self.late <= MOST_LATE * max(1, self.wakes)
+        return self.max_lateness < VERY_LATE_WAKE and self.late_wakes <= MAX_LATE_PART * max(
+            1, self.wake_count
+        )
 
     def measures(self) -> dict[str, Any]:
         return {
@@ -377,8 +382,8 @@
             "dispatcher_cpu_s": round(sum(self.cpu.values()), 2),
             "dispatcher_descriptors": self.descriptors,
             "late": {
-                "most_ms": round(self.most_late * 1000, 1),
-                "part_over_50_ms": round(self.late / max(1, self.wakes), 5),
+                "most_ms": round(self.max_lateness * 1000, 1),
+                "part_over_50_ms": round(self.late_wakes / max(1, self.wake_count), 5),
             },
             "counts": self.kept_up,
         }
--- a/locktide/simulation/rendered_config.py
+++ b/locktide/simulation/rendered_config.py
@@ -1,4 +1,4 @@
-"""What a dispatcher of a rehearsal is told at its start: the JSON that GW_CONFIG names."""
+"""Start configuration of a dispatcher of a run: the JSON that GW_CONFIG names, or an installation file."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 def settings(scenario: Scenario) -> dict[str, Any]:
-    """The fleet's terms in the form of the deployment's settings; times in milliseconds."""
-    terms, dispatcher = scenario.worker, scenario.dispatcher
+    """Return the settings of a dispatcher in the form of the platform, with times in milliseconds."""
+    config_section, dispatcher = scenario.worker, scenario.dispatcher
     grades = [
         {
             "Name": grade.name,
@@ -35,14 +35,14 @@
         }
         for grade in scenario.grade
     ]
-    told: dict[str, Any] = {
+    rendered: dict[str, Any] = {
         "Step": 4.0,
         "FleetSize": scenario.fleet.dispatchers,
         "ServiceGrades": grades,
         "Domain": {
             "ClassStretch": [grade.stretch for grade in scenario.grade],
             "TellsStart": True,
-            "Progress": terms.progress * 1000,
+            "Progress": config_section.progress * 1000,
         },
         "Ceilings": {
             "MaxDispatches": dispatcher.dispatches,
@@ -51,7 +51,7 @@
             "RetryAfter": True,
             "MaxRetryAfter": dispatcher.longest_advice * 1000,
             "ConnectTimeout": dispatcher.connect * 1000,
-            "IdleClose": terms.idle_close * 1000,
+            "IdleClose": config_section.idle_close * 1000,
         },
         "Kinds": [kind.name for kind in scenario.fleet.kinds],
         "ObjectiveMix": {"Whole": 0.5, "WorstClass": 0.4, "WorstWindow": 0.1},
@@ -60,23 +60,25 @@
         "BeyondShareRevenue": scenario.accord.beyond if scenario.tenant else 1.0,
         "Rules": {
             "AskWithin": scenario.roster.ask_within * 1000,
-            "OverloadFactor": terms.fall_factor,
-            "OverloadFor": terms.fall_for * 1000,
-            "ColdFrom": terms.cold_from,
-            "Cold": terms.cold_for * 1000,
+            "OverloadFactor": config_section.fall_factor,
+            "OverloadFor": config_section.fall_for * 1000,
+            "ColdFrom": config_section.cold_from,
+            "Cold": config_section.cold_for * 1000,
             "DrainGrace": dispatcher.drain_grace * 1000,
         },
     }
-    return overlaid(told, dispatcher.settings)
+    return merged(rendered, dispatcher.settings)
 
 
-def overlaid(below: dict[str, Any], above: dict[str, Any]) -> dict[str, Any]:
-    """Tables are laid over key by key, everything else is replaced."""
-    made = dict(below)
+def merged(below: dict[str, Any], above: dict[str, Any]) -> dict[str, Any]:
+    """Merge two tables: tables are merged key by key, any other value is replaced."""
+    result = dict(below)
     for key, value in above.items():
-        under = made.get(key)
-        made[key] = overlaid(under, value) if isinstance(value, dict) and isinstance(under, dict) else value
-    return made
+        existing = result.get(key)
+        result[key] = (
+            merged(existing, value) if isinstance(value, dict) and isinstance(existing, dict) else value
+        )
+    return result
 
 
 def config(scenario: Scenario, number: int, listen: str, discovery: str, known: Any) -> dict[str, Any]:
@@ -95,111 +97,120 @@
     }
 
 
-def kept_grades(scenario: Scenario) -> list[str]:
-    """The grades whose jobs are durable."""
+def durable_classes(scenario: Scenario) -> list[str]:
+    """Return the names of the service classes whose jobs are durable."""
     if not scenario.durable.on:
         return []
     return scenario.durable.grades or [grade.name for grade in scenario.grade]
 
 
 def durable(scenario: Scenario) -> DurableJobsSection:
-    terms = scenario.durable
+    config_section = scenario.durable
     return DurableJobsSection(
         enabled=True,
-        service_classes=kept_grades(scenario),
-        detached_timeout=terms.limit,
+        service_classes=durable_classes(scenario),
+        detached_timeout=config_section.limit,
         retention=3600.0,
-        start_timeout=terms.start_within,
-        heartbeat_timeout=terms.beat_within,
-        segment_mb=terms.segment_kb / 1024,
+        start_timeout=config_section.start_within,
+        heartbeat_timeout=config_section.beat_within,
+        segment_mb=config_section.segment_kb / 1024,
     )
 
 
-def electors(scenario: Scenario) -> int:
-    """So many dispatchers, the first ones, choose who divides: three or five."""
+def acceptor_count(scenario: Scenario) -> int:
+    """Return how many dispatchers, the first ones, are acceptors: five, three or one."""
     return 5 if scenario.fleet.dispatchers >= 5 else 3 if scenario.fleet.dispatchers >= 3 else 1
 
 
-def agreed(scenario: Scenario, listen: str, reach: str, places: list[str], trace: str) -> ClusterSection:
-    """The accord of one dispatcher, as an installation has it; `places` are where all are reached."""
-    terms = scenario.accord
+def cluster_section(
+    scenario: Scenario, listen: str, reach: str, addresses: list[str], trace: str
+) -> ClusterSection:
+    """Return the cluster section of one dispatcher; `addresses` are those at which all are reached."""
+    config_section = scenario.accord
     return ClusterSection(
         enabled=True,
         listen=listen,
         advertised_address=reach,
-        acceptors=[AcceptorSection(name=f"d{n}", address=places[n]) for n in range(electors(scenario))],
-        reserved_fraction=terms.reserve,
-        max_members=scenario.fleet.dispatchers + terms.spare,
-        burst=terms.burst,
-        lendable_fraction=terms.lend,
-        resources=terms.resource,
+        acceptors=[
+            AcceptorSection(name=f"d{n}", address=addresses[n]) for n in range(acceptor_count(scenario))
+        ],
+        reserved_fraction=config_section.reserve,
+        max_members=scenario.fleet.dispatchers + config_section.spare,
+        burst=config_section.burst,
+        lendable_fraction=config_section.lend,
+        resources=config_section.resource,
         trace=trace,
     )
 
 
 def installation(scenario: Scenario, name: str, accord: ClusterSection) -> Installation:
-    """As much of an installation as the accord is told by."""
+    """Return the part of an installation that the cluster is configured by."""
     return Installation(
         serve=ServeSection(name=name),
         cluster=accord,
-        tenants=[TenantSection(name=one.name, rate=one.rate, weight=one.weight) for one in scenario.tenant],
+        tenants=[
+            TenantSection(name=entry.name, rate=entry.rate, weight=entry.weight) for entry in scenario.tenant
+        ],
         service_classes=[
-            ServiceClassSection(name=one.name, timeout=one.limit, resource_needs=one.holds)
-            for one in scenario.grade
+            ServiceClassSection(name=entry.name, timeout=entry.limit, resource_needs=entry.holds)
+            for entry in scenario.grade
         ],
     )
 
 
 def as_file(
-    scenario: Scenario, told: dict[str, Any], directory: Path, accord: ClusterSection | None = None
+    scenario: Scenario, rendered: dict[str, Any], directory: Path, accord: ClusterSection | None = None
 ) -> str:
-    """What `config` tells, as an installation's file, with durable jobs in that directory or with an accord.
+    """Return what `config` returns as an installation file, with durable jobs in that directory or a cluster.
 
-    For `locktide serve`: the platform's start has no such parts.
+    The file is for `locktide serve`, as the start document of the platform has no such parts.
     """
-    terms, dispatcher, kept = scenario.worker, scenario.dispatcher, durable(scenario)
+    config_section, dispatcher, durable_section = scenario.worker, scenario.dispatcher, durable(scenario)
     tables: dict[str, dict[str, Any]] = {
-        "serve": {"name": told["name"], "listen": told["listen"], "roster": told["discovery"]},
+        "serve": {"name": rendered["name"], "listen": rendered["listen"], "roster": rendered["discovery"]},
         "limits": {"descriptors": dispatcher.sockets, "memory_mb": dispatcher.memory_mb},
         "dispatches": {
             "most": dispatcher.dispatches,
             "connect": dispatcher.connect,
-            "idle": terms.idle_close,
+            "idle": config_section.idle_close,
             "longest_advice": dispatcher.longest_advice,
         },
         "workers": {
             "dispatchers": scenario.fleet.dispatchers,
-            "progress": terms.progress,
-            "cold_from": terms.cold_from,
-            "cold_for": terms.cold_for,
-            "fall_factor": terms.fall_factor,
-            "fall_for": terms.fall_for,
+            "progress": config_section.progress,
+            "cold_from": config_section.cold_from,
+            "cold_for": config_section.cold_for,
+            "fall_factor": config_section.fall_factor,
+            "fall_for": config_section.fall_for,
         },
         "worth": {"worst_grade": 0.4, "beyond_share": scenario.accord.beyond if scenario.tenant else 1.0},
         "durable": {
             "on": scenario.durable.on,
             "directory": str(directory),
-            "grades": kept.service_classes,
-            "limit": kept.detached_timeout,
-            "keep": kept.retention,
-            "start_within": kept.start_timeout,
-            "beat_within": kept.heartbeat_timeout,
-            "segment_mb": kept.segment_mb,
+            "grades": durable_section.service_classes,
+            "limit": durable_section.detached_timeout,
+            "keep": durable_section.retention,
+            "start_within": durable_section.start_timeout,
+            "beat_within": durable_section.heartbeat_timeout,
+            "segment_mb": durable_section.segment_mb,
         },
     }
     lines = []
     for name, table in tables.items():
-        lines += [f"[{name}]", *assigned(table)]
+        lines += [f"[{name}]", *toml_assignments(table)]
     if accord is not None:
         plain = msgspec.to_builtins(accord)
         tables_of = {"electors": plain.pop("electors"), "resource": plain.pop("resource")}
-        lines += ["[accord]", *assigned(plain)]
+        lines += ["[accord]", *toml_assignments(plain)]
         for name, rows in tables_of.items():
             for row in rows:
-                lines += [f"[[accord.{name}]]", *assigned(row)]
-    for one in scenario.tenant:
-        lines += ["[[tenant]]", *assigned({"name": one.name, "rate": one.rate, "weight": one.weight})]
-    for entry in told["known"]["targets"]:
+                lines += [f"[[accord.{name}]]", *toml_assignments(row)]
+    for tenant in scenario.tenant:
+        lines += [
+            "[[tenant]]",
+            *toml_assignments({"name": tenant.name, "rate": tenant.rate, "weight": tenant.weight}),
+        ]
+    for entry in rendered["known"]["targets"]:
         known = {
             "uid": entry["uid"],
             "endpoint": entry["endpoint"],
@@ -207,7 +218,7 @@
             "model": entry["model"],
             "cell": entry["pod_group"],
         }
-        lines += ["[[known]]", *assigned(known)]
+        lines += ["[[known]]", *toml_assignments(known)]
     for grade in scenario.grade:
         service = {
             "name": grade.name,
@@ -219,12 +230,12 @@
             "revenue": float(grade.revenue),
             "late": grade.late,
         }
-        lines += ["[[grade]]", *assigned(service)]
+        lines += ["[[grade]]", *toml_assignments(service)]
         if grade.holds and accord is not None:
-            lines += ["[grade.holds]", *assigned(grade.holds)]
+            lines += ["[grade.holds]", *toml_assignments(grade.holds)]
     return "\n".join(lines) + "\n"
 
 
-def assigned(table: dict[str, Any]) -> list[str]:
-    """A string, a number, a truth and a list of strings are spelled in JSON as in TOML."""
+def toml_assignments(table: dict[str, Any]) -> list[str]:
+    """Return TOML lines; strings, numbers, booleans and lists of strings are the same in JSON and TOML."""
     return [f"{key} = {json.dumps(value)}" for key, value in table.items()]
--- a/locktide/simulation/run.py
+++ b/locktide/simulation/run.py
@@ -1,4 +1,4 @@
-"""Plays one script, in virtual time or on loopback, and gives its outcome."""
+"""Runs one scenario, in virtual time or on loopback, and returns its outcome."""
 
 from __future__ import annotations
 
@@ -13,9 +13,7 @@
 
 from locktide.cluster.bootstrap import cluster_config
 from locktide.cluster.config import ClusterConfig
-from locktide.simulation import cluster_report as agreed
-from locktide.simulation import outcome
-from locktide.simulation import rendered_config as told_module
+from locktide.simulation import cluster_report, outcome, rendered_config
 from locktide.simulation.backend import REACH_PORT, TALK_PORT
 from locktide.simulation.model.scenario import Scenario
 from locktide.simulation.peer_links import PeerLinks
@@ -26,149 +24,154 @@
 
 ProgressCallback = Callable[
     [ScenarioRunner, int], None
-]  # called now and then while it plays, with the time in microseconds
+]  # called about once a second during a run, with the time in microseconds
 
 
 class RunFailedError(RuntimeError):
-    """Something in the rehearsal itself broke off: its figures count for nothing."""
+    """The simulation itself failed, or cannot run the scenario; there is no valid outcome."""
 
 
 @dataclass
 class RunResult:
-    told: dict[str, Any]
-    said: list[str] = field(default_factory=list)  # what the dispatchers logged
+    outcome: dict[str, Any]
+    log_lines: list[str] = field(default_factory=list)  # log lines of the dispatchers
 
 
 def with_seed(scenario: Scenario, seed: int) -> Scenario:
     return msgspec.structs.replace(scenario, seed=seed)
 
 
-def attach_in_virtual_time(scenario: Scenario, stage: ScenarioRunner, host: VirtualBackend) -> None:
+def attach_in_virtual_time(scenario: Scenario, runner: ScenarioRunner, host: VirtualBackend) -> None:
     """Connect a host to its stage, with the disks and the agreement that the script asks for."""
-    host.links, host.on_point = stage.links, stage.dispatcher_at
+    host.links, host.on_crash_point = runner.links, runner.reach_crash_point
     if scenario.durable.on:
-        terms = scenario.durable
-        host.durable = (told_module.durable(scenario), scenario.seed, terms.sync, terms.zeros)
+        durable = scenario.durable
+        host.durable = (rendered_config.durable(scenario), scenario.seed, durable.sync, durable.zeros)
     if scenario.accord.on:
-        host.talk = PeerLinks(scenario.seed)
-        places = [f"{host.address(machine)}:{TALK_PORT}" for machine in stage.dispatcher_machines]
+        host.peer_links = PeerLinks(scenario.seed)
+        addresses = [f"{host.address(machine)}:{TALK_PORT}" for machine in runner.dispatcher_machines]
 
-        def agree(number: int, name: str, address: str) -> ClusterConfig:
-            accord = told_module.agreed(scenario, places[number], places[number], places, "")
-            return cluster_config(told_module.installation(scenario, name, accord))
+        def cluster_for(number: int, name: str, address: str) -> ClusterConfig:
+            accord = rendered_config.cluster_section(
+                scenario, addresses[number], addresses[number], addresses, ""
+            )
+            return cluster_config(rendered_config.installation(scenario, name, accord))
 
-        host.agree = agree
+        host.cluster_for = cluster_for
 
 
-async def attach_on_loopback(scenario: Scenario, stage: ScenarioRunner, host: ProcessBackend) -> None:
+async def attach_on_loopback(scenario: Scenario, runner: ScenarioRunner, host: ProcessBackend) -> None:
     """Connect a host to its stage, with the disks and the agreement that the script asks for."""
     if scenario.durable.on or scenario.accord.on:
-        refuse_on_loopback(scenario)
-        host.as_file = lambda told, directory, accord: told_module.as_file(scenario, told, directory, accord)
-    host.links = stage.links
+        check_loopback_support(scenario)
+        host.as_file = lambda start_config, directory, accord: rendered_config.as_file(
+            scenario, start_config, directory, accord
+        )
+    host.links = runner.links
     if scenario.accord.on:
-        host.talk = PeerLinks(scenario.seed)
-        here = [host.address(machine) for machine in stage.dispatcher_machines]
-        places = [f"{address}:{REACH_PORT}" for address in here]
-        host.agree = lambda number, trace: told_module.agreed(
-            scenario, f"{here[number]}:{TALK_PORT}", places[number], places, str(trace)
+        host.peer_links = PeerLinks(scenario.seed)
+        hosts = [host.address(machine) for machine in runner.dispatcher_machines]
+        addresses = [f"{address}:{REACH_PORT}" for address in hosts]
+        host.cluster_for = lambda number, trace: rendered_config.cluster_section(
+            scenario, f"{hosts[number]}:{TALK_PORT}", addresses[number], addresses, str(trace)
         )
-        await host.open_talk(stage.dispatcher_machines)
+        await host.open_peer_links(runner.dispatcher_machines)
 
 
-def in_virtual_time(scenario: Scenario, glance: ProgressCallback | None = None) -> RunResult:
-    """Raises Troubled where code of ours broke off unseen: a fault that a rehearsal must not hide."""
+def in_virtual_time(scenario: Scenario, on_progress: ProgressCallback | None = None) -> RunResult:
+    """Run a scenario in virtual time; raise RunFailedError for exceptions that no code has handled."""
     loop = VirtualLoop()  # type: ignore[abstract]
     host = VirtualBackend(loop)
-    stage = ScenarioRunner(scenario, host)
-    attach_in_virtual_time(scenario, stage, host)
-    # Collected at fixed moments: when what is dropped is collected must not depend on what ran before.
+    runner = ScenarioRunner(scenario, host)
+    attach_in_virtual_time(scenario, runner, host)
+    # The garbage collector runs at fixed points only, so that a run does not depend on the runs before it.
     gc.collect()
     gc.disable()
     try:
-        if glance is not None:
+        if on_progress is not None:
 
-            def look() -> None:
-                glance(stage, host.now())
-                if not stage.ended:
-                    loop.call_later(1.0, look)
+            def report_progress() -> None:
+                on_progress(runner, host.now())
+                if not runner.ended:
+                    loop.call_later(1.0, report_progress)
 
-            loop.call_later(1.0, look)
+            loop.call_later(1.0, report_progress)
         complete = True
         try:
-            loop.run_until_complete(stage.play())
+            loop.run_until_complete(runner.play())
             if scenario.accord.on:
-                loop.run_until_complete(asyncio.sleep(agreed.QUIET))
+                loop.run_until_complete(asyncio.sleep(cluster_report.QUIET))
         except KeyboardInterrupt:
             complete = False
-        told = outcome.of(stage, "virtual time", complete) | host.measures()
+        run_outcome = outcome.summarize(runner, "virtual time", complete) | host.measures()
         if scenario.accord.on:
             digests = loop.run_until_complete(host.digests())
-            told["accord"] = figures(stage, *host.traced(), digests)
-        troubles = [spell(context) for context in loop.trouble]
-        stage.close()
+            run_outcome["accord"] = cluster_figures(runner, *host.traced(), digests)
+        errors = [describe(context) for context in loop.trouble]
+        runner.close()
         loop.run_until_complete(host.clear_away())
         loop.run_until_complete(asyncio.sleep(1.0))
         host.drop()
     finally:
         gc.enable()
         loop.close()
-    if troubles:
-        raise RunFailedError("; ".join(troubles[:5]))
-    return RunResult(told, host.said)
+    if errors:
+        raise RunFailedError("; ".join(errors[:5]))
+    return RunResult(run_outcome, host.log_lines)
 
 
 async def on_loopback(
-    scenario: Scenario, program: Path, folder: Path, glance: ProgressCallback | None = None
+    scenario: Scenario, program: Path, folder: Path, on_progress: ProgressCallback | None = None
 ) -> RunResult:
-    """In real time. Cancelled in the middle, it gives what there is, and leaves no process behind."""
+    """Run a scenario in real time; if cancelled, return the outcome so far. All processes are ended."""
     host = ProcessBackend(program, folder)
-    stage = ScenarioRunner(scenario, host)
-    await attach_on_loopback(scenario, stage, host)
+    runner = ScenarioRunner(scenario, host)
+    await attach_on_loopback(scenario, runner, host)
     complete = True
 
-    async def look() -> None:
-        while glance is not None:
+    async def report_progress() -> None:
+        while on_progress is not None:
             await asyncio.sleep(0.5)
-            glance(stage, host.now())
+            on_progress(runner, host.now())
 
-    looking = asyncio.create_task(look())
+    progress_task = asyncio.create_task(report_progress())
     try:
         try:
-            await stage.play()
+            await runner.play()
             if scenario.accord.on:
-                await asyncio.sleep(agreed.QUIET)
+                await asyncio.sleep(cluster_report.QUIET)
         except asyncio.CancelledError:
             complete = False
         host.sum_up()
-        told = outcome.of(stage, "loopback", complete) | host.measures()
+        run_outcome = outcome.summarize(runner, "loopback", complete) | host.measures()
         if scenario.accord.on:
-            told["accord"] = figures(stage, *host.traced(), await host.digests())
-        return RunResult(told, host.logs())
+            run_outcome["accord"] = cluster_figures(runner, *host.traced(), await host.digests())
+        return RunResult(run_outcome, host.logs())
     finally:
-        looking.cancel()
-        stage.close()
+        progress_task.cancel()
+        runner.close()
         await host.clear_away()
 
 
-def figures(
-    stage: ScenarioRunner, traces: list[agreed.QuotaTrace], begun: int, digests: list[str]
+def cluster_figures(
+    runner: ScenarioRunner, traces: list[cluster_report.QuotaTrace], begun: int, digests: list[str]
 ) -> dict[str, Any]:
-    return agreed.figures(stage.script, traces, outcome.asked(stage), begun, digests)
+    return cluster_report.figures(runner.script, traces, outcome.counted_requests(runner), begun, digests)
+
 
+def check_loopback_support(scenario: Scenario) -> None:
+    """Raise RunFailedError for a scenario that needs virtual time.
 
-def refuse_on_loopback(scenario: Scenario) -> None:
-    """What an installation's file and a real disk cannot be told; raises Troubled."""
+    An installation file and a real disk cannot express all of a scenario with durable jobs or a cluster.
+    """
     if any(incident.what == "trap-dispatcher" for incident in scenario.incident):
-        raise RunFailedError(
-            "points of a journal at which dispatchers are trapped are for --host virtual only"
-        )
+        raise RunFailedError("traps at crash points of dispatchers are supported with --host virtual only")
     if scenario.dispatcher.settings or scenario.roster.call:
         raise RunFailedError(
-            "with durable jobs or an accord dispatcher.settings and roster.call are for --host virtual only"
+            "with durable jobs or an accord, dispatcher.settings and roster.call need --host virtual"
         )
 
 
-def spell(context: dict[str, Any]) -> str:
-    trouble = context.get("exception")
-    return f"{context.get('message')}: {type(trouble).__name__}: {trouble}"
+def describe(context: dict[str, Any]) -> str:
+    error = context.get("exception")
+    return f"{context.get('message')}: {type(error).__name__}: {error}"
--- a/locktide/simulation/scenario_runner.py
+++ b/locktide/simulation/scenario_runner.py
@@ -1,4 +1,4 @@
-"""The stage: all stand-ins of one rehearsal, the dispatchers among them, and the incidents in their time."""
+"""Runs one scenario: sets up emulated workers, clients and discovery, starts dispatchers, injects faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from locktide.simulation import rendered_config as told
+from locktide.simulation import rendered_config
 from locktide.simulation.backend import DISPATCHER_PORT, ROSTER_PORT, WORKER_PORT, Backend
 from locktide.simulation.client_site import ClientSite
 from locktide.simulation.connection_pool import ClientConnectionPool, ProtocolError, UpstreamRequest
@@ -24,22 +24,25 @@
 from locktide.simulation.model.scenario import Scenario, assign_worker_types
 from locktide.simulation.model.traffic import ClientRequest, RequestTry
 from locktide.simulation.model.worker import DeduplicationCell, EmulatedWorker, SharedCapacity, WorkerConfig
-from locktide.simulation.worker_site import UNSETTLED, WorkerConnection, WorkerSite
+from locktide.simulation.worker_site import SETTLING_TIME, WorkerConnection, WorkerSite
 
-READY_WITHIN = 30.0  # seconds for all dispatchers to be ready before the traffic begins
-TAKEN_OUT_AFTER = 300_000  # microseconds that a front goes on sending to who is stopped: 0.2 to 0.4 s there
-UNDER_WAY = 1_000_000  # microseconds from the writing of a withdrawal until what may follow it has come
-HEALING = 5_000  # microseconds that all that waited for a link takes to come, beside its delay
-LONGEST_WAIT = 120_000_000  # microseconds; the waits' histogram ends there
+READY_TIMEOUT = 30.0  # seconds for all dispatchers to be ready before the traffic begins
+TAKEN_OUT_AFTER = (
+    300_000  # microseconds until a stopped dispatcher gets no more requests; 0.2 to 0.4 s on the platform
+)
+# Microseconds from the sending of a cancellation until an attempt that may follow it has arrived.
+CANCELLATION_TRANSIT_TIME = 1_000_000
+HEAL_TIME = 5_000  # microseconds, beside the delay, until everything held back by a restored link has arrived
+MAX_RECORDED_WAIT = 120_000_000  # microseconds; upper end of the response time histograms
 
 
 class NotReadyError(Exception):
-    """A dispatcher did not come up."""
+    """A dispatcher did not become ready."""
 
 
 @dataclass(slots=True)
 class Sample:
-    """How things stood at one moment; drawn over time in the report."""
+    """State of the run at one moment; the report plots the samples over time."""
 
     at: int
     outstanding: int
@@ -69,15 +72,20 @@
         self.tasks: dict[asyncio.Task[Any], None] = {}
         self.half_open: list[WorkerConnection] = []
         self.samples: list[Sample] = []
-        self.wait_by: dict[str, HdrHistogram] = {
-            grade.name: HdrHistogram(1, LONGEST_WAIT, 3) for grade in scenario.grade
+        self.response_times: dict[str, HdrHistogram] = {
+            grade.name: HdrHistogram(1, MAX_RECORDED_WAIT, 3) for grade in scenario.grade
         }
-        self.keys = self.sprung = self.crashed = 0
+        self.keys = self.triggered_traps = self.crashed = 0
         self.ended = False
-        self.kept_grades = frozenset(told.kept_grades(scenario) if scenario.durable.asks else ())
-        self.records: dict[str, int] = dict.fromkeys(("accepted", "done", "denied", "terminated", "lost"), 0)
-        self.kills = 0  # of dispatchers, by a trap or by the clock
-        self.traps: dict[int, tuple[str, int]] = {}  # by dispatcher: the point, and how long it is away then
+        self.durable_classes = frozenset(
+            rendered_config.durable_classes(scenario) if scenario.durable.asks else ()
+        )
+        self.durable_counts: dict[str, int] = dict.fromkeys(
+            ("accepted", "done", "denied", "terminated", "lost"), 0
+        )
+        self.dispatcher_kills = 0  # by traps and by timed faults
+        # By dispatcher: the crash point, and the microseconds until the restart.
+        self.pending_traps: dict[int, tuple[str, int]] = {}
         fleet = scenario.fleet
         self.dispatcher_port = DISPATCHER_PORT
         self.dispatcher_machines = [
@@ -95,7 +103,7 @@
             for number, agent in enumerate(self.agents)
         ]
         pods: dict[int, DeduplicationCell] = {}
-        # A tenth of a second more than is promised: a repeat sent in time is taken a little later.
+        # A tenth of a second longer than configured, as a repeat sent in time is accepted a little later.
         longest = max(memory.values(), default=0) + 100_000
         self.workers = [
             WorkerSite(
@@ -110,7 +118,7 @@
         self.clients = [ClientSite(self, zone) for zone in range(fleet.zones)]
         self.timeline = FaultInjector(self)
 
-    # --- how the fleet is made
+    # --- set-up of the fleet
 
     def zone_of(self, number: int) -> int:
         return number % self.script.fleet.zones
@@ -133,18 +141,18 @@
     def entry(self, number: int, boot_at: int = 0) -> ListedWorker:
         kind, zone = assign_worker_types(self.script)[number], self.zone_of(number)
         pod = number // self.script.fleet.zones // self.script.fleet.pod * self.script.fleet.zones + zone
-        # Roughly, as a roster knows it: the size of the machine.
+        # Only the size of the machine, as a discovery service knows no more.
         rating = round(kind.cores * kind.speed, 3)
         return ListedWorker(number, f"w{number}", f"zone{zone}", kind.name, pod, ACTIVE, rating, boot_at)
 
     def endpoint(self, dispatcher: int) -> Any:
-        """A worker's address as that dispatcher is told it."""
+        """Return a function from a worker's number to its address in the endpoint list of that dispatcher."""
 
-        def spell(number: int) -> str:
+        def format_endpoint(number: int) -> str:
             machine = Machine(WORKER, number, self.zone_of(number))
             return f"{self.host.address(machine)}:{WORKER_PORT + dispatcher}"
 
-        return spell
+        return format_endpoint
 
     def body(self, request: ClientRequest) -> bytes:
         size = self.script.clients.bodies
@@ -160,27 +168,27 @@
         task.add_done_callback(lambda done: self.tasks.pop(done, None))
         return task
 
-    # --- what the stand-ins ask of each other
+    # --- context of the emulated machines
 
     def links_changed_at(self) -> int:
         return self.timeline.links_changed_at
 
-    def could_have_ended(self, came: ReceivedAttempt) -> bool:
-        """Whether a dispatcher could have ended that dispatch in a way that both sides know."""
-        site = self.workers[came.worker]
-        if came.accepted_at is not None and not self.kept_grades:
-            # Its 202 has come through: nothing but a word or a withdrawal that came ends it, however silent
-            # its worker is. But one may have been lost under way when the link was just cut.
-            since = self.links.last_cut_at(site.machine, self.dispatcher_machines[came.dispatcher])
-            return since is None or self.host.now() - since > UNDER_WAY
-        settled = self.host.now() - max(site.troubled_at, self.timeline.links_changed_at) > UNSETTLED
-        return site.worker.up and settled and not site.cut_from(came.dispatcher)
-
-    def held_back(self, one: Machine, other: Machine, came_at: int) -> int | None:
-        """When the link was cut, if what came then may have waited for it to be whole."""
-        since = self.links.last_cut_at(one, other)
+    def could_have_ended(self, received: ReceivedAttempt) -> bool:
+        """Return whether the dispatcher could have ended that attempt in a way that both sides know."""
+        site = self.workers[received.worker]
+        if received.accepted_at is not None and not self.durable_classes:
+            # The dispatcher has its 202: only a callback or a cancellation that arrived ends the attempt,
+            # however silent the worker is. But one of these may have been lost when the link was just cut.
+            since = self.links.last_cut_at(site.machine, self.dispatcher_machines[received.dispatcher])
+            return since is None or self.host.now() - since > CANCELLATION_TRANSIT_TIME
+        settled = self.host.now() - max(site.disturbed_at, self.timeline.links_changed_at) > SETTLING_TIME
+        return site.worker.up and settled and not site.cut_from(received.dispatcher)
+
+    def held_back(self, source: Machine, target: Machine, came_at: int) -> int | None:
+        """Return when the link was cut if that may have held back what arrived at `came_at`, else None."""
+        since = self.links.last_cut_at(source, target)
         changed = self.timeline.links_changed_at
-        until = changed + self.links.max_delay(one, other) + HEALING + self.host.slack
+        until = changed + self.links.max_delay(source, target) + HEAL_TIME + self.host.slack
         if since is None or not changed <= came_at <= until:
             return None
         return since
@@ -190,20 +198,20 @@
             entry.number, entry.uid, entry.zone, entry.model, entry.pod, state, entry.rating, entry.boot_at
         )
         for number, site in enumerate(self.agent_sites):
-            late = chance.unit(self.script.seed, "roster", number, entry.number, state, entry.boot_at)
-            due = self.host.now() + int((after + late * self.script.roster.spread) * 1e6)
+            fraction = chance.unit(self.script.seed, "roster", number, entry.number, state, entry.boot_at)
+            due = self.host.now() + int((after + fraction * self.script.roster.spread) * 1e6)
             self.agents[number].change(due, changed)
             site.changed()
 
     def running(self, by: int) -> None:
-        """So many more jobs use what all workers share."""
+        """Change the number of jobs that use the shared resource."""
         self.shared.running += by
         if self.shared.capacity:
-            self.reshare()
+            self.apply_shared_slowdown()
 
-    def reshare(self) -> None:
+    def apply_shared_slowdown(self) -> None:
         factor = self.shared.factor()
-        # Small changes are not worth bringing every worker up to date for.
+        # Small changes are not worth the cost of updating every worker.
         if abs(factor - self.workers[0].worker.shared) < 0.02:
             return
         for site in self.workers:
@@ -213,19 +221,19 @@
         for site in self.workers:
             site.schedule()
 
-    def waits(self, request: ClientRequest) -> None:
-        self.wait_by[request.grade.name].record_value(
-            min(LONGEST_WAIT, max(1, request.answered_at - request.at))
+    def record_response_time(self, request: ClientRequest) -> None:
+        self.response_times[request.grade.name].record_value(
+            min(MAX_RECORDED_WAIT, max(1, request.answered_at - request.at))
         )
 
     def pause_later(self, site: WorkerSite) -> None:
-        """The next of the short pauses that every worker makes now and then."""
+        """Schedule the next of the short random pauses of a worker."""
         terms, life = self.script.worker, site.life
         if not terms.pause_every or not terms.pause:
             return
-        drawn = self.next_key()
-        gap = terms.pause_every * (0.5 + chance.unit(self.script.seed, "pause", drawn))
-        span = terms.pause * 2 * chance.unit(self.script.seed, "span", drawn)
+        pause_number = self.next_key()
+        gap = terms.pause_every * (0.5 + chance.unit(self.script.seed, "pause", pause_number))
+        span = terms.pause * 2 * chance.unit(self.script.seed, "span", pause_number)
 
         def pause() -> None:
             if site.life == life and site.worker.up and not self.ended:
@@ -237,9 +245,9 @@
     # --- dispatchers
 
     def start_file(self, number: int) -> dict[str, Any]:
-        """Return what a dispatcher is told at its start, with the endpoint list as its agent has it now."""
+        """Return the start document of a dispatcher, with the endpoint list as its agent has it now."""
         here = self.host.address(self.dispatchers[number].machine)
-        return told.config(
+        return rendered_config.config(
             self.script,
             number,
             f"{here}:{self.dispatcher_port}",
@@ -262,22 +270,22 @@
         if not dispatcher.alive:
             return
         dispatcher.alive = False
-        self.kills += 1
+        self.dispatcher_kills += 1
         self.checker.killed(list(dispatcher.open.values()))
         self.host.kill_dispatcher(number)
         self.gone(number)
 
-    def dispatcher_at(self, number: int, point: str) -> None:
-        """A dispatcher has come to a point that is named: a trap there kills it before it does more."""
-        trap = self.traps.get(number)
+    def reach_crash_point(self, number: int, point: str) -> None:
+        """Handle that a dispatcher has reached a crash point: a trap there kills it at once."""
+        trap = self.pending_traps.get(number)
         if trap is not None and trap[0] == point and self.dispatchers[number].alive:
-            del self.traps[number]
-            self.sprung += 1
+            del self.pending_traps[number]
+            self.triggered_traps += 1
             self.kill_dispatcher(number)
             self.host.call_at(self.host.now() + trap[1], self.start_dispatcher, number)
 
     def stop_dispatcher(self, number: int) -> None:
-        """SIGTERM; the timeline kills what has not ended in time."""
+        """Send SIGTERM; the fault injector kills a process that does not end in time."""
         if self.dispatchers[number].alive:
             self.dispatchers[number].stopping = True
             self.host.stop_dispatcher(number)
@@ -294,37 +302,37 @@
             site.lines[number].close()
 
     async def watch_dispatcher(self, number: int) -> None:
-        """The front's question whether it is ready, on a connection of its own each time."""
+        """Check the readiness of a dispatcher for the load balancers, each time on a new connection."""
         dispatcher, check = self.dispatchers[number], self.script.front.check
         site = self.clients[dispatcher.machine.zone]
         while True:
             life = dispatcher.life
             if dispatcher.alive and not dispatcher.stopping:
-                lines = ClientConnectionPool(
+                pool = ClientConnectionPool(
                     self.host, site.machine, dispatcher.machine, site.lines[number].address
                 )
                 try:
                     async with asyncio.timeout(1.0):
-                        line = await lines.take()
-                        reply = await line.ask(UpstreamRequest("GET", "/health/ready", []))
+                        connection = await pool.take()
+                        reply = await connection.ask(UpstreamRequest("GET", "/health/ready", []))
                     if reply.status == 200 and dispatcher.life == life and dispatcher.alive:
                         for each in self.clients:
                             each.front.ready(number)
                 except (OSError, TimeoutError, ProtocolError):
                     pass  # not ready
                 finally:
-                    lines.close()
+                    pool.close()
             if dispatcher.alive and not self.host.dispatcher_runs(number):
-                # By itself it ends only after SIGTERM.
+                # Without SIGTERM a dispatcher that has ended has crashed.
                 self.crashed += not dispatcher.stopping
                 dispatcher.alive = False
                 self.gone(number)
             await asyncio.sleep(check)
 
-    # --- the whole
+    # --- the run
 
     async def play(self) -> None:
-        """From the start of the dispatchers to the last answer; raises NotReady."""
+        """Run the scenario, from the start of the dispatchers to the last response; raise NotReadyError."""
         for number, site in enumerate(self.agent_sites):
             here = self.dispatcher_machines[number]
             address = (self.host.address(here), ROSTER_PORT)
@@ -336,28 +344,28 @@
             self.spawn(self.watch_dispatcher(number))
         waited = 0.0
         while not all(
-            any(site.front.in_service.get(number) for site in self.clients) or self.nobodys(number)
+            any(site.front.in_service.get(number) for site in self.clients) or self.is_unserved(number)
             for number in range(len(self.dispatchers))
         ):
             await asyncio.sleep(0.05)
             waited += 0.05
-            if waited > READY_WITHIN:
-                raise NotReadyError(f"not all dispatchers were ready within {READY_WITHIN:.0f} s")
+            if waited > READY_TIMEOUT:
+                raise NotReadyError(f"not all dispatchers were ready within {READY_TIMEOUT:.0f} s")
         self.host.begin()
         for worker in self.workers:
             worker.worker.start(self.host.now(), cold=False)
             self.pause_later(worker)
         self.timeline.set()
         self.spawn(self.sample())
-        asking = self.spawn(self.traffic())
-        await asking
+        sender = self.spawn(self.send_requests())
+        await sender
         await asyncio.gather(*self.playing)
         self.ended = True
 
-    def nobodys(self, number: int) -> bool:
+    def is_unserved(self, number: int) -> bool:
         return not any(number in site.front.in_service for site in self.clients)
 
-    async def traffic(self) -> None:
+    async def send_requests(self) -> None:
         self.playing: list[asyncio.Task[None]] = []
         for request in self.asks:
             wait = request.at - self.host.now()
@@ -373,19 +381,19 @@
             self.samples.append(
                 Sample(
                     now,
-                    sum(len(one.open) for one in self.dispatchers),
+                    sum(len(entry.open) for entry in self.dispatchers),
                     sum(len(worker.queue) for worker in up),
                     sum(len(worker.jobs) for worker in up),
                     len(up),
                     sum(worker.is_cold(now) for worker in up),
                     sum(worker.slow * worker.shared > 1.0 or worker.held_until > now for worker in up),
-                    sum(one.alive and not one.stopping for one in self.dispatchers),
+                    sum(entry.alive and not entry.stopping for entry in self.dispatchers),
                 )
             )
             await asyncio.sleep(1.0)
 
     def close(self) -> None:
-        """Ends what is still under way, also in the middle of a rehearsal."""
+        """Cancel all tasks and kill all dispatchers, also in the middle of a run."""
         self.ended = True
         for task in list(self.tasks):
             task.cancel()
--- a/locktide/simulation/virtual_backend.py
+++ b/locktide/simulation/virtual_backend.py
@@ -1,4 +1,4 @@
-"""The host in virtual time: the dispatchers' own code in this process, on a clock and a network of memory."""
+"""Backend in virtual time: the dispatchers' own code in this process, on a virtual clock and network."""
 
 from __future__ import annotations
 
@@ -29,25 +29,25 @@
 from locktide.simulation.virtual_time.process import VirtualProcess
 from locktide.transport.log import Log
 
-EPOCH = 1_800_000_000  # the Unix time at which every virtual rehearsal begins, in seconds
-UP_AFTER = 0.3  # seconds from a dispatcher's start until it listens, as measured of the real one
-MOST_LINES = 2000  # of the dispatchers' logs that are kept
+EPOCH = 1_800_000_000  # the Unix time at which every virtual run begins, in seconds
+START_DELAY = 0.3  # seconds from a dispatcher's start until it listens, as for a real process
+MAX_LOG_LINES = 2000  # further log lines of the dispatchers are dropped
 
 
 class RecordingLog(Log):
-    """Keeps what dispatchers say, with the virtual time."""
+    """Log that keeps the lines of dispatchers, with the virtual time."""
 
     def __init__(self, name: str, loop: VirtualLoop, lines: list[str]) -> None:
         super().__init__(name)
         self.loop, self.lines = loop, lines
 
     def emit(self, line: str, kind: str = "", event: str = "", **fields: Any) -> None:
-        if len(self.lines) < MOST_LINES:
+        if len(self.lines) < MAX_LOG_LINES:
             self.lines.append(f"{self.loop.time():.3f} {self.name} {line}")
 
 
 class NoLatency:
-    """The wires when all is over: nothing takes any time, or goes anywhere."""
+    """Links without delays or cuts, for the clean-up after a run."""
 
     def delay(self, source: Machine, target: Machine) -> int:
         return 0
@@ -60,7 +60,7 @@
 
 
 class RecordedText(io.StringIO):
-    """A trace that stays when who writes it closes it."""
+    """A trace file whose text outlives its close by the writer."""
 
     def __init__(self, kept: io.StringIO) -> None:
         super().__init__()
@@ -71,42 +71,42 @@
 
 
 class VirtualBackend:
-    slack = 0  # nothing is ever late
+    slack = 0  # virtual time is exact
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop, self.net = loop, VirtualNetwork(loop, self)
-        self.links: Any = None  # of the stage, once it stands
+        self.links: Any = None  # of the scenario runner, set once it exists
         self.machines: dict[str, Machine] = {}
         self.processes: dict[int, tuple[VirtualProcess, asyncio.Event]] = {}
-        self.nodes: dict[int, Dispatcher] = {}  # of the processes that have come up
+        self.nodes: dict[int, Dispatcher] = {}  # of the processes that have started
         self.begun = 0.0
-        self.said: list[str] = []
+        self.log_lines: list[str] = []
         self.durable: tuple[DurableJobsSection, int, float, float] | None = (
             None  # terms, seed, latency, zeros
         )
         self.platters: dict[int, VirtualDisk] = {}
-        self.on_point: Callable[[int, str], None] = lambda number, name: None
-        self.all: list[VirtualProcess] = []  # also those that have died
-        self.talk = PeerLinks(0)
-        # Where dispatchers agree: the terms of one, by its number, name and address.
-        self.agree: Callable[[int, str, str], ClusterConfig] | None = None
+        self.on_crash_point: Callable[[int, str], None] = lambda number, name: None
+        self.all_processes: list[VirtualProcess] = []  # also those that have ended
+        self.peer_links = PeerLinks(0)
+        # With a cluster: returns the cluster configuration of a dispatcher, by its number, name and address.
+        self.cluster_for: Callable[[int, str, str], ClusterConfig] | None = None
         self.traces: list[tuple[int, VirtualProcess, io.StringIO]] = []
         self.ended_at: dict[VirtualProcess, int] = {}
-        self.drivers: dict[int, tuple[VirtualProcess, UdpTransport]] = {}
+        self.udp_transports: dict[int, tuple[VirtualProcess, UdpTransport]] = {}
 
-    # --- the host
+    # --- the backend
 
     def now(self) -> int:
         return round((self.loop.time() - self.begun) * 1e6)
 
-    def unix(self, at: int) -> int:
+    def unix_time(self, at: int) -> int:
         return round((EPOCH + self.begun) * 1e6) + at
 
     def begin(self) -> None:
         self.begun = self.loop.time()
 
     def call_at(self, at: int, what: Callable[..., Any], *args: Any) -> asyncio.TimerHandle:
-        # Of no process, also where a dispatcher has come to a trap: what follows outlives it.
+        # In the context of no process, as a timer set by a dispatcher at a crash point has to outlive it.
         when = max(self.loop.time(), self.begun + at / 1e6)
         return self.loop.call_at(when, what, *args, context=self.net.context)
 
@@ -129,96 +129,106 @@
         transport.reset()
 
     def links_changed(self) -> None:
-        self.net.healed()
+        self.net.links_restored()
 
-    def start_dispatcher(self, number: int, told: dict[str, Any]) -> None:
-        name = told["name"]
-        process = VirtualProcess(name, told["listen"].rpartition(":")[0])
+    def start_dispatcher(self, number: int, start_config: dict[str, Any]) -> None:
+        name = start_config["name"]
+        process = VirtualProcess(name, start_config["listen"].rpartition(":")[0])
         stop = asyncio.Event()
         self.processes[number] = (process, stop)
         self.nodes.pop(number, None)
-        self.all.append(process)
-        read = start_from_document(JsonObject(told), {})
-        kept = self.kept(number)
-        known = discovery.read(read.cached_endpoints, "known")
+        self.all_processes.append(process)
+        config = start_from_document(JsonObject(start_config), {})
+        durable_setup = self.durable_setup(number)
+        known = discovery.read(config.cached_endpoints, "known")
         context = process.context()
 
         async def run() -> None:
-            await asyncio.sleep(UP_AFTER)
-            log = RecordingLog(name, self.loop, self.said)
-            node = Dispatcher(read, known, log, self)
-            self.nodes[number] = node
+            await asyncio.sleep(START_DELAY)
+            log = RecordingLog(name, self.loop, self.log_lines)
+            dispatcher = Dispatcher(config, known, log, self)
+            self.nodes[number] = dispatcher
             job_service = None
-            if kept is not None:
-                told_durable, platter = kept
+            if durable_setup is not None:
+                durable_section, disk = durable_setup
                 job_service = await attach_job_service(
-                    node, told_durable, log, platter.mount(), self.moment()
+                    dispatcher, durable_section, log, disk.mount(), self.clock_reading()
                 )
-                job_service.write_ahead_log.reach_crash_point = partial(self.on_point, number)
-            driver = await self.joined(number, process, node, log) if self.agree is not None else None
-            await node.run(stop)
-            if driver is not None:
-                await driver.close()
+                job_service.write_ahead_log.reach_crash_point = partial(self.on_crash_point, number)
+            udp_transport = (
+                await self.join_cluster(number, process, dispatcher, log)
+                if self.cluster_for is not None
+                else None
+            )
+            await dispatcher.run(stop)
+            if udp_transport is not None:
+                await udp_transport.close()
             if job_service is not None:
                 await job_service.close()
             self.note_death(process)
             self.net.kill(process)
 
-        self.loop.create_task(run(), context=context).add_done_callback(self.ended)
+        self.loop.create_task(run(), context=context).add_done_callback(self.on_dispatcher_ended)
 
-    async def joined(self, number: int, process: VirtualProcess, node: Dispatcher, log: Log) -> UdpTransport:
-        assert self.agree is not None
+    async def join_cluster(
+        self, number: int, process: VirtualProcess, dispatcher: Dispatcher, log: Log
+    ) -> UdpTransport:
+        assert self.cluster_for is not None
         trace = io.StringIO()
         self.traces.append((number, process, trace))
-        terms = self.agree(number, process.name, process.address)
-        # Its start tells it from an earlier process, as the clock does elsewhere.
-        terms = replace(
-            terms, member_id=(process.name, round(self.wall() * 1e6)), random_seed=len(self.traces)
+        cluster_config = self.cluster_for(number, process.name, process.address)
+        # The time of its start distinguishes it from earlier processes, as the real clock does elsewhere.
+        cluster_config = replace(
+            cluster_config, member_id=(process.name, round(self.wall() * 1e6)), random_seed=len(self.traces)
         )
-        driver = await open_udp_transport(
-            terms, log, node.bridge, (process.address, TALK_PORT), RecordedText(trace)
+        udp_transport = await open_udp_transport(
+            cluster_config, log, dispatcher.bridge, (process.address, TALK_PORT), RecordedText(trace)
         )
-        self.drivers[number] = process, driver
-        return driver
+        self.udp_transports[number] = process, udp_transport
+        return udp_transport
 
     async def digests(self) -> list[str]:
-        """Of the ledgers of all dispatchers that live."""
-        ledgers = [driver.member.ledger for process, driver in self.drivers.values() if not process.dead]
+        """Return the digests of the fairness ledgers of all live dispatchers."""
+        ledgers = [
+            udp_transport.member.ledger
+            for process, udp_transport in self.udp_transports.values()
+            if not process.dead
+        ]
         return [f"{ledger.standing.digest:016x}" for ledger in ledgers if ledger is not None]
 
     def note_death(self, process: VirtualProcess) -> None:
         self.ended_at.setdefault(process, round(self.loop.time() * 1e6))
 
     def traced(self) -> tuple[list[QuotaTrace], int]:
-        """What dispatchers traced, and when the rehearsal began by its clock."""
+        """Return the traces of all dispatchers, and when the run began by the clock of the traces."""
         return [
             QuotaTrace(number, trace.getvalue().splitlines(), self.ended_at.get(process, 0))
             for number, process, trace in self.traces
         ], round(self.begun * 1e6)
 
-    def ended(self, done: asyncio.Task[None]) -> None:
-        """A dispatcher that breaks off, at its start or later, must not pass for a quiet one."""
-        if not done.cancelled() and (trouble := done.exception()) is not None:
-            self.loop.trouble.append({"message": "a dispatcher ended", "exception": trouble})
+    def on_dispatcher_ended(self, done: asyncio.Task[None]) -> None:
+        """Record the exception of a dispatcher that failed; it would otherwise pass for a silent one."""
+        if not done.cancelled() and (error := done.exception()) is not None:
+            self.loop.trouble.append({"message": "a dispatcher ended", "exception": error})
 
     def stop_dispatcher(self, number: int) -> None:
         self.processes[number][1].set()
 
-    def reload_dispatcher(self, number: int, told: dict[str, Any]) -> bool:
+    def reload_dispatcher(self, number: int, start_config: dict[str, Any]) -> bool:
         """Put other settings in force, as SIGHUP does; return False for a process that is not up yet.
 
         Such a process goes by the settings of its start here.
         """
         process, _ = self.processes[number]
-        node = self.nodes.get(number)
-        if node is None or process.dead:
+        dispatcher = self.nodes.get(number)
+        if dispatcher is None or process.dead:
             return False
-        read = start_from_document(JsonObject(told), {}, is_reload=True)
-        self.loop.call_soon(node.reload, read, context=process.context())
+        config = start_from_document(JsonObject(start_config), {}, is_reload=True)
+        self.loop.call_soon(dispatcher.reload, config, context=process.context())
         return True
 
     def hold_up_dispatcher(self, number: int, seconds: float) -> None:
-        """Let a dispatcher get no processor for so long; what is sent to it comes all the same."""
+        """Give a dispatcher no processor for so long; what is sent to it still arrives."""
         self.processes[number][0].held_until = self.loop.time() + seconds
 
     def kill_dispatcher(self, number: int) -> None:
@@ -227,30 +237,30 @@
         if number in self.platters:
             self.platters[number].crash()
 
-    def moment(self) -> ClockReading:
-        """The machines start once, with the rehearsal."""
+    def clock_reading(self) -> ClockReading:
+        """Return the clocks of a machine; all machines boot once, at the start of the run."""
         at = round(self.wall() * 1e6)
         return ClockReading(at, "virtual", round(self.loop.time() * 1e6))
 
-    def kept(self, number: int) -> tuple[DurableJobsSection, VirtualDisk] | None:
-        """The terms and the disk of a dispatcher that keeps jobs."""
+    def durable_setup(self, number: int) -> tuple[DurableJobsSection, VirtualDisk] | None:
+        """Return the settings and the disk of a dispatcher with durable jobs; None without these."""
         if self.durable is None:
             return None
-        told, seed, latency, zeros = self.durable
+        durable_section, seed, latency, zeros = self.durable
         if number not in self.platters:
             self.platters[number] = VirtualDisk(seed * 1009 + number, latency, zeros)
-        return told, self.platters[number]
+        return durable_section, self.platters[number]
 
     def dispatcher_runs(self, number: int) -> bool:
         return number in self.processes and not self.processes[number][0].dead
 
     async def clear_away(self) -> None:
         self.links = NoLatency()
-        for process in self.all:
+        for process in self.all_processes:
             await process.clear_away()
 
     def drop(self) -> None:
-        for process in self.all:
+        for process in self.all_processes:
             process.drop()
 
     def measures(self) -> dict[str, Any]:
@@ -264,7 +274,7 @@
     def listening(self, address: Address, backlog: int) -> Any:
         return self.net.socket(address, backlog)
 
-    # --- the wires
+    # --- links
 
     def delay(self, source: str, target: str) -> int:
         if source == target:
@@ -278,7 +288,7 @@
         if self.cut(source, target):
             return []
         names = [f"d{self.machines[address].number}" for address in (source, target)]
-        return self.talk.carried(names[0], names[1], self.delay(source, target), data)
+        return self.peer_links.carried(names[0], names[1], self.delay(source, target), data)
 
     def cut(self, source: str, target: str) -> bool:
         return source != target and bool(self.links.cut(self.machines[source], self.machines[target]))
--- a/locktide/simulation/virtual_time/network.py
+++ b/locktide/simulation/virtual_time/network.py
@@ -68,7 +68,7 @@
             await self.loop.create_future()
         await asyncio.sleep(self.wires.delay(source, target) / 1e6)
 
-    def healed(self) -> None:
+    def links_restored(self) -> None:
         """Sends what waited for a link that is whole again."""
         for end in list(self.ends):
             if end.held and not self.wires.cut(end.here, end.there):
--- a/locktide/simulation/worker_site.py
+++ b/locktide/simulation/worker_site.py
@@ -1,4 +1,4 @@
-"""A stand-in worker: the model behind its sockets, the callbacks it makes, its death and its return."""
+"""An emulated worker: the model behind sockets, its callbacks, its crashes and restarts."""
 
 from __future__ import annotations
 
@@ -32,11 +32,12 @@
     RunningJob,
 )
 
-CALL_WITHIN = 2.0  # seconds for the answer to a callback; dispatchers take no time over one
-EARLY_BY = 5_000  # microseconds by which the 202 follows an early callback
-LOST_AFTER = 50_000  # until the machine's agent has seen a process die, in microseconds
-# After trouble on the way a withdrawal may still be under way: so long no second copy is blamed.
-UNSETTLED = 3_000_000
+CALLBACK_TIMEOUT = 2.0  # seconds for the response to a callback; dispatchers answer one at once
+EARLY_CALLBACK_LEAD = 5_000  # microseconds by which the 202 follows an early callback
+LOSS_REPORT_DELAY = 50_000  # microseconds until the machine's agent reports the jobs of a crashed process
+# Microseconds after a disturbance during which a cancellation may still be in transit, so that a second
+# attempt is no violation.
+SETTLING_TIME = 3_000_000
 
 
 class WorkerConnection(asyncio.Protocol):
@@ -45,25 +46,28 @@
     transport: asyncio.Transport
 
     def __init__(self, site: WorkerSite, sender: int) -> None:
-        self.site, self.sender, self.talk = site, sender, ServerMessages()
-        self.first = True  # no message has come on it yet
-        self.pending: RunningJob | None = None  # taken, and its 202 is not written
-        self.waiting = False  # a message has no answer yet
+        self.site, self.sender, self.parser = site, sender, ServerMessages()
+        self.first = True  # no message has arrived yet
+        self.pending: RunningJob | None = None  # accepted, but its 202 is not sent yet
+        self.waiting = False  # a message has no response yet
         self.idle: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        if not self.site.worker.up or len(self.site.ends) >= self.site.stage.script.worker.connections:
-            self.site.stage.host.reset(transport)
+        if (
+            not self.site.worker.up
+            or len(self.site.open_connections) >= self.site.runner.script.worker.connections
+        ):
+            self.site.runner.host.reset(transport)
             return
-        self.site.ends[self] = None
-        self.rest()
+        self.site.open_connections[self] = None
+        self.restart_idle_timer()
 
-    def rest(self) -> None:
+    def restart_idle_timer(self) -> None:
         if self.idle is not None:
             self.idle.cancel()
-        host = self.site.stage.host
-        after = int(self.site.stage.script.worker.idle_close * 1e6)
+        host = self.site.runner.host
+        after = int(self.site.runner.script.worker.idle_close * 1e6)
         self.idle = host.call_at(host.now() + after, self.idle_close)
 
     def idle_close(self) -> None:
@@ -71,69 +75,69 @@
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        now = self.site.stage.host.now()
+        now = self.site.runner.host.now()
         try:
-            message = self.talk.feed(data, now)
+            message = self.parser.feed(data, now)
         except h11.RemoteProtocolError:
             self.transport.close()
             return
         if message is not None:
             if message.method == "DELETE" and message.path.startswith(names.JOBS):
-                # Given up by who sent it, also where a process that hangs has yet to read it.
+                # The sender has cancelled the attempt, even if a hanging process has not read that yet.
                 self.site.given_up(message.path[len(names.JOBS) :], self.sender)
             self.waiting = True
-            wait = int(self.site.stage.script.worker.handshake * 1e6) if self.first else 0
+            wait = int(self.site.runner.script.worker.handshake * 1e6) if self.first else 0
             self.first = False
-            self.site.awake(now + wait, self.site.message, self, message)
+            self.site.call_when_awake(now + wait, self.site.message, self, message)
 
     def reply(self, status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = ()) -> None:
         self.waiting, self.pending = False, None
         if not self.transport.is_closing():
-            self.transport.write(self.talk.answer(status, body, headers))
-            self.rest()
+            self.transport.write(self.parser.answer(status, body, headers))
+            self.restart_idle_timer()
 
     def eof_received(self) -> bool:
         return False
 
-    def connection_lost(self, trouble: Exception | None) -> None:
-        self.site.ends.pop(self, None)
+    def connection_lost(self, error: Exception | None) -> None:
+        self.site.open_connections.pop(self, None)
         if self.idle is not None:
             self.idle.cancel()
-        if self.pending is not None:  # ended before its 202: that gives the dispatch up
+        if self.pending is not None:  # closed before the 202, which cancels the attempt
             self.site.give_up(self.pending.id, self.sender)
 
 
 class WorkerSite:
     def __init__(
         self,
-        stage: WorkerContext,
+        runner: WorkerContext,
         number: int,
         worker: EmulatedWorker,
         pod: DeduplicationCell,
         entry: ListedWorker,
     ) -> None:
-        self.stage, self.number, self.worker, self.pod, self.entry = stage, number, worker, pod, entry
-        self.machine = Machine(WORKER, number, stage.zone_of(number))
-        self.ends: dict[WorkerConnection, None] = {}
-        self.opened: list[Closable] = []
-        self.life = 0  # counts its processes
+        self.runner, self.number, self.worker, self.pod, self.entry = runner, number, worker, pod, entry
+        self.machine = Machine(WORKER, number, runner.zone_of(number))
+        self.open_connections: dict[WorkerConnection, None] = {}
+        self.listeners: list[Closable] = []
+        self.life = 0  # counts the processes of this worker
         self.hung_until = 0
-        self.troubled_at = -UNSETTLED
-        self.trap = ""  # where it dies next
-        self.trap_back_after = 0
+        self.disturbed_at = -SETTLING_TIME
+        self.trap = ""  # the crash point at which the worker is killed next
+        self.trap_downtime = 0
         self.received: dict[int, ReceivedAttempt] = {}
-        self.calls: dict[int, asyncio.Task[None]] = {}  # the last callback of each dispatch
+        self.calls: dict[int, asyncio.Task[None]] = {}  # the last callback of each attempt
         self.timer: asyncio.TimerHandle | None = None
         self.due: int | None = None
-        host = stage.host
+        host = runner.host
         self.lines = [
-            ClientConnectionPool(host, self.machine, there, (host.address(there), stage.dispatcher_port))
-            for there in stage.dispatcher_machines
+            ClientConnectionPool(host, self.machine, there, (host.address(there), runner.dispatcher_port))
+            for there in runner.dispatcher_machines
         ]
 
     async def open(self) -> None:
-        host, life = self.stage.host, self.life
-        for number, there in enumerate(self.stage.dispatcher_machines):
+        host, life = self.runner.host, self.life
+        for number, there in enumerate(self.runner.dispatcher_machines):
 
             def factory(number: int = number) -> asyncio.Protocol:
                 return WorkerConnection(self, number)
@@ -143,32 +147,32 @@
             if self.life != life or not self.worker.up:
                 listening.close()
                 return
-            self.opened.append(listening)
+            self.listeners.append(listening)
 
-    # --- its time
+    # --- time
 
-    def awake(self, at: int, what: Callable[..., None], *args: Any) -> None:
-        """Calls at that moment, or once it has stopped hanging; never for a process that has died."""
+    def call_when_awake(self, at: int, action: Callable[..., None], *args: Any) -> None:
+        """Call the action at that time, or after a hang; never after this process has crashed."""
         life = self.life
 
-        def then() -> None:
+        def run_when_awake() -> None:
             if self.life != life or not self.worker.up:
                 return
-            if self.hung_until > self.stage.host.now():
-                self.stage.host.call_at(self.hung_until, then)
+            if self.hung_until > self.runner.host.now():
+                self.runner.host.call_at(self.hung_until, run_when_awake)
             else:
-                what(*args)
+                action(*args)
 
-        if at <= self.stage.host.now() and self.hung_until <= at:
-            then()
+        if at <= self.runner.host.now() and self.hung_until <= at:
+            run_when_awake()
         else:
-            self.stage.host.call_at(at, then)
+            self.runner.host.call_at(at, run_when_awake)
 
     def tick(self) -> None:
-        """Brings the model up to now, tells what has come about, and wakes again when there is more."""
+        """Advance the model to now, send its reports, and set a timer for the next one."""
         if self.worker.up:
-            for word in self.worker.advance(self.stage.host.now()):
-                self.tell(word)
+            for report in self.worker.advance(self.runner.host.now()):
+                self.send_report(report)
                 if not self.worker.up:
                     return
         self.schedule()
@@ -180,86 +184,88 @@
         if self.timer is not None:
             self.timer.cancel()
         self.due = at
-        self.timer = None if at is None else self.stage.host.call_at(at, self.come_due)
+        self.timer = None if at is None else self.runner.host.call_at(at, self.on_timer)
 
-    def come_due(self) -> None:
+    def on_timer(self) -> None:
         self.timer = self.due = None
         self.tick()
 
     # --- messages
 
-    def message(self, end: WorkerConnection, message: Message) -> None:
-        if end.transport.is_closing():
+    def message(self, connection: WorkerConnection, message: Message) -> None:
+        if connection.transport.is_closing():
             return
         if message.method == "DELETE" and message.path.startswith(names.JOBS):
-            self.give_up(message.path[len(names.JOBS) :], end.sender)
-            end.reply(200)
+            self.give_up(message.path[len(names.JOBS) :], connection.sender)
+            connection.reply(200)
         elif message.method == "POST":
-            self.dispatched(end, message)
+            self.dispatched(connection, message)
         else:
-            end.reply(404)
+            connection.reply(404)
 
-    def dispatched(self, end: WorkerConnection, message: Message) -> None:
-        stage, now = self.stage, self.stage.host.now()
+    def dispatched(self, connection: WorkerConnection, message: Message) -> None:
+        runner, now = self.runner, self.runner.host.now()
         id = message.fields.get(names.REQUEST_ID.lower(), "")
-        submission = stage.tries.get(id)
+        submission = runner.tries.get(id)
         request = submission.ask if submission else None
         if (
             submission is None
             or request is None
             or message.path != f"/{request.grade.name}"
-            or message.body != stage.body(request)
+            or message.body != runner.body(request)
         ):
-            stage.checker.record_stray(now, f"{message.method} {message.path} {id!r} at w{self.number}")
-            end.reply(400 if id else 404)
+            runner.checker.record_stray(now, f"{message.method} {message.path} {id!r} at w{self.number}")
+            connection.reply(400 if id else 404)
             return
         self.tick()
-        there = stage.dispatcher_machines[end.sender]
-        came = stage.checker.reached(
+        there = runner.dispatcher_machines[connection.sender]
+        received = runner.checker.reached(
             submission,
             self.number,
             self.entry.pod,
-            end.sender,
+            connection.sender,
             message.first_at,
             now,
-            stage.agents[end.sender].drain_notified_at(self.number),
-            stage.links.max_delay(there, self.machine) + stage.host.slack,
-            stage.could_have_ended,
-            stage.held_back(there, self.machine, message.first_at),
+            runner.agents[connection.sender].drain_notified_at(self.number),
+            runner.links.max_delay(there, self.machine) + runner.host.slack,
+            runner.could_have_ended,
+            runner.held_back(there, self.machine, message.first_at),
         )
-        if self.spring("before-202"):
-            stage.checker.settle(came, POSSIBLY_EXECUTED)  # it died with what it had just read
+        if self.trigger_trap("before-202"):
+            runner.checker.settle(received, POSSIBLY_EXECUTED)  # the worker crashed after reading it
             return
-        stage.dispatcher_at(end.sender, "dispatch reached")
-        key = stage.next_key()
-        noise = chance.stretch(stage.script.seed, stage.script.worker.spread, "cost", id, key)
-        fails = chance.unit(stage.script.seed, "error", key) < stage.script.worker.error_rate
-        job = RunningJob(key, id, end.sender, max(1000, int(request.work * noise)), request.width, fails)
-        self.received[key] = came
-        taken = self.worker.offer(now, job)
+        runner.reach_crash_point(connection.sender, "dispatch reached")
+        key = runner.next_key()
+        cost_factor = chance.stretch(runner.script.seed, runner.script.worker.spread, "cost", id, key)
+        fails = chance.unit(runner.script.seed, "error", key) < runner.script.worker.error_rate
+        job = RunningJob(
+            key, id, connection.sender, max(1000, int(request.work * cost_factor)), request.width, fails
+        )
+        self.received[key] = received
+        outcome = self.worker.offer(now, job)
         self.fall_over()
         if not self.worker.up:
             return
-        if taken == FULL:
-            stage.checker.settle(came, NEVER_EXECUTED)
-            end.reply(503, b"", ((names.DECLINED, "1"),))
+        if outcome == FULL:
+            runner.checker.settle(received, NEVER_EXECUTED)
+            connection.reply(503, b"", ((names.DECLINED, "1"),))
             return
         if request.grade.effect == "numbered":
-            # By when its first byte came: a hung process reads late what was sent in time.
+            # The arrival of the first byte counts, as a hanging process reads late what was sent in time.
             job.seen = self.pod.record(request.key, message.first_at)
-        if chance.unit(stage.script.seed, "early", key) < stage.script.worker.early:
-            end.pending = job
+        if chance.unit(runner.script.seed, "early", key) < runner.script.worker.early:
+            connection.pending = job
             self.tick()
-            self.awake(now + EARLY_BY, self.accept, end, came)
+            self.call_when_awake(now + EARLY_CALLBACK_LEAD, self.accept, connection, received)
         else:
-            self.accept(end, came)
+            self.accept(connection, received)
             self.tick()
 
-    def accept(self, end: WorkerConnection, came: ReceivedAttempt) -> None:
-        if not self.cut_from(end.sender):
-            came.accepted_at = self.stage.host.now()
-        end.reply(202)
-        self.spring("after-202")
+    def accept(self, connection: WorkerConnection, received: ReceivedAttempt) -> None:
+        if not self.cut_from(connection.sender):
+            received.accepted_at = self.runner.host.now()
+        connection.reply(202)
+        self.trigger_trap("after-202")
 
     def give_up(self, id: str, sender: int) -> None:
         if not self.worker.up:
@@ -271,174 +277,179 @@
         self.tick()
 
     def given_up(self, id: str, sender: int) -> None:
-        for came in self.stage.checker.received.get(id, ()):
-            if came.worker == self.number and came.dispatcher == sender:
-                self.stage.checker.settle(came, GIVEN_UP)
-
-    # --- words
-
-    def tell(self, word: JobReport) -> None:
-        stage, job = self.stage, word.job
-        submission = stage.tries[job.id]
-        came = self.received.get(job.key)
-        told: dict[str, Any] = {"id": job.id, "from": self.entry.uid, "state": names.STARTED}
-        if word.state == STARTED:
-            if self.spring("before-started"):
+        for received in self.runner.checker.received.get(id, ()):
+            if received.worker == self.number and received.dispatcher == sender:
+                self.runner.checker.settle(received, GIVEN_UP)
+
+    # --- callbacks
+
+    def send_report(self, report: JobReport) -> None:
+        runner, job = self.runner, report.job
+        submission = runner.tries[job.id]
+        received = self.received.get(job.key)
+        callback: dict[str, Any] = {"id": job.id, "from": self.entry.uid, "state": names.STARTED}
+        if report.state == STARTED:
+            if self.trigger_trap("before-started"):
                 return
-            stage.running(1)
+            runner.running(1)
             if job.seen is None or not job.seen.had_effect:
-                stage.checker.effect(word.at, submission, came)
+                runner.checker.effect(report.at, submission, received)
             if job.seen is not None:
                 job.seen.had_effect = True
-        elif word.state == RUNNING:
-            told |= {"state": names.RUNNING, "share": round(word.share, 4)}
+        elif report.state == RUNNING:
+            callback |= {"state": names.RUNNING, "share": round(report.share, 4)}
         else:
-            if word.state != RETURNED:
-                if self.spring("before-done"):
+            if report.state != RETURNED:
+                if self.trigger_trap("before-done"):
                     return
-                stage.running(-1)
+                runner.running(-1)
             self.received.pop(job.key, None)
-            if came is not None:
-                stage.checker.settle(came, NEVER_EXECUTED if word.state == RETURNED else POSSIBLY_EXECUTED)
-            told["state"] = {DONE: "done", FAILED: "failed", RETURNED: "returned"}[word.state]
-            if word.state == DONE:
-                stage.dispatcher_at(job.sender, "done told")
-                told["result"] = f"{job.id}/{job.key}"
-                stage.checker.record_result(job.id, told["result"].encode())
+            if received is not None:
+                runner.checker.settle(
+                    received, NEVER_EXECUTED if report.state == RETURNED else POSSIBLY_EXECUTED
+                )
+            callback["state"] = {DONE: "done", FAILED: "failed", RETURNED: "returned"}[report.state]
+            if report.state == DONE:
+                runner.reach_crash_point(job.sender, "done told")
+                callback["result"] = f"{job.id}/{job.key}"
+                runner.checker.record_result(job.id, callback["result"].encode())
         if not job.given_up:
-            self.call(job, told)
+            self.call(job, callback)
 
-    def call(self, job: RunningJob, told: dict[str, Any]) -> None:
-        """Callbacks of one dispatch go out one after another; those of a dead process never."""
+    def call(self, job: RunningJob, callback: dict[str, Any]) -> None:
+        """Send a callback after the earlier ones of the same attempt; a crash cancels all of them."""
         before = self.calls.get(job.key)
-        if told["state"] == names.RUNNING and before is not None and not before.done():
-            return  # a newer word on the progress follows soon
-        task = self.calls[job.key] = self.stage.spawn(self.call_until_answered(job, told, before))
+        if callback["state"] == names.RUNNING and before is not None and not before.done():
+            return  # a newer progress callback follows soon
+        task = self.calls[job.key] = self.runner.spawn(self.call_until_answered(job, callback, before))
         task.add_done_callback(
             lambda _: self.calls.pop(job.key, None) if self.calls.get(job.key) is task else None
         )
 
     async def call_until_answered(
-        self, job: RunningJob, told: dict[str, Any], before: asyncio.Task[None] | None
+        self, job: RunningJob, callback: dict[str, Any], before: asyncio.Task[None] | None
     ) -> None:
         if before is not None:
             await asyncio.wait([before])
-        terms, body = self.stage.script.worker, as_json(told)
+        worker_settings, body = self.runner.script.worker, as_json(callback)
         question = UpstreamRequest("POST", names.CALLBACK, [], body)
-        again = chance.unit(self.stage.script.seed, "twice", job.key, told["state"]) < terms.twice
-        for _ in range(terms.call_tries):
+        is_repeated = (
+            chance.unit(self.runner.script.seed, "twice", job.key, callback["state"]) < worker_settings.twice
+        )
+        for _ in range(worker_settings.call_tries):
             if await self.post(job.sender, question):
-                if again:
+                if is_repeated:
                     await self.post(job.sender, question)
                 return
-            await asyncio.sleep(terms.call_gap)
+            await asyncio.sleep(worker_settings.call_gap)
 
     async def post(self, sender: int, question: UpstreamRequest) -> bool:
-        lines = self.lines[sender]
-        line = None
+        pool = self.lines[sender]
+        connection = None
         try:
-            async with asyncio.timeout(CALL_WITHIN):
-                line = await lines.take()
-                reply = await line.ask(question)
+            async with asyncio.timeout(CALLBACK_TIMEOUT):
+                connection = await pool.take()
+                reply = await connection.ask(question)
         except (OSError, ProtocolError, TimeoutError):
-            if line is not None:
-                lines.drop(line)
+            if connection is not None:
+                pool.drop(connection)
             return False
         except asyncio.CancelledError:
-            if line is not None:
-                lines.drop(line)
+            if connection is not None:
+                pool.drop(connection)
             raise
-        lines.give_back(line)
+        pool.give_back(connection)
         return reply.status in (200, 204)
 
-    # --- incidents
+    # --- faults
 
-    def spring(self, point: str) -> bool:
-        """Whether a trap at this point has killed it just now."""
+    def trigger_trap(self, point: str) -> bool:
+        """Kill the worker if a trap is set at this point; return whether it was."""
         if self.trap != point:
             return False
         self.trap = ""
         self.die()
-        self.stage.host.call_at(self.stage.host.now() + self.trap_back_after, self.come_back)
-        self.stage.sprung += 1
+        self.runner.host.call_at(self.runner.host.now() + self.trap_downtime, self.restart)
+        self.runner.triggered_traps += 1
         return True
 
     def fall_over(self) -> None:
-        now = self.stage.host.now()
+        now = self.runner.host.now()
         sent = self.worker.pushed_over(now)
         if not sent:
             return
         boot = self.entry.boot_at
 
-        def knew(sender: int, at: int) -> bool:
-            told = self.stage.agents[sender].told_at(self.number, ACTIVE, boot)
-            return told is not None and told <= at
+        def was_notified(sender: int, at: int) -> bool:
+            notified_at = self.runner.agents[sender].told_at(self.number, ACTIVE, boot)
+            return notified_at is not None and notified_at <= at
 
-        self.stage.checker.pushed_over(now, self.number, sent, knew)
-        self.die()  # and stays down
+        self.runner.checker.pushed_over(now, self.number, sent, was_notified)
+        self.die()  # without a restart
 
     def die(self, silently: bool = False) -> None:
-        """The process ends with all it holds. Silently: the machine is cut off, so nobody hears of it."""
+        """End the process and lose its jobs; `silently`, without resets and reports, if it is cut off."""
         if not self.worker.up:
             return
-        host, now = self.stage.host, self.stage.host.now()
-        self.stage.running(-len(self.worker.jobs))
+        host, now = self.runner.host, self.runner.host.now()
+        self.runner.running(-len(self.worker.jobs))
         lost = self.worker.kill()
         self.life += 1
-        self.troubled_at = now
-        for listening in self.opened:
+        self.disturbed_at = now
+        for listening in self.listeners:
             listening.close()
-        self.opened.clear()
+        self.listeners.clear()
         for job in lost:
-            came = self.received.pop(job.key, None)
-            # Who has the 202 and hears nothing cannot know that it is over: it stays out until given up.
-            if came is not None and not (silently and came.accepted_at is not None):
-                self.stage.checker.settle(came, POSSIBLY_EXECUTED)
+            received = self.received.pop(job.key, None)
+            # A dispatcher that has the 202 and is not notified cannot know that the attempt has ended: the
+            # attempt stays in flight until it is cancelled.
+            if received is not None and not (silently and received.accepted_at is not None):
+                self.runner.checker.settle(received, POSSIBLY_EXECUTED)
         self.received.clear()
         for task in list(self.calls.values()):
             task.cancel()
         self.calls.clear()
-        ends = list(self.ends)
-        self.ends.clear()
+        open_connections = list(self.open_connections)
+        self.open_connections.clear()
         if silently:
-            self.stage.half_open += ends
+            self.runner.half_open += open_connections
         else:
-            for end in ends:
-                host.reset(end.transport)
-            for lines in self.lines:
-                lines.close(reset=True)
+            for connection in open_connections:
+                host.reset(connection.transport)
+            for pool in self.lines:
+                pool.close(reset=True)
             for job in lost:
                 if not job.given_up:
-                    told = {"id": job.id, "from": self.entry.uid, "state": "lost"}
-                    host.call_at(now + LOST_AFTER, self.call, job, told)
+                    callback = {"id": job.id, "from": self.entry.uid, "state": "lost"}
+                    host.call_at(now + LOSS_REPORT_DELAY, self.call, job, callback)
         self.schedule()
-        self.list(LEFT, self.stage.script.roster.notice)
+        self.announce(LEFT, self.runner.script.roster.notice)
 
-    def come_back(self) -> None:
-        """A new process, cold."""
+    def restart(self) -> None:
+        """Start a new process, which is cold."""
         if self.worker.up:
             return
-        now = self.stage.host.now()
-        for end in [end for end in self.stage.half_open if end.site is self]:
-            self.stage.host.reset(end.transport)
-            self.stage.half_open.remove(end)
+        now = self.runner.host.now()
+        for connection in [connection for connection in self.runner.half_open if connection.site is self]:
+            self.runner.host.reset(connection.transport)
+            self.runner.half_open.remove(connection)
         self.life += 1
-        self.hung_until, self.troubled_at = 0, now
+        self.hung_until, self.disturbed_at = 0, now
         self.worker.start(now, cold=True)
-        self.entry = self.stage.entry(self.number, boot_at=self.stage.host.unix(now))
-        self.list(ACTIVE, self.stage.script.roster.add)
-        self.stage.spawn(self.open())
-        self.stage.pause_later(self)
+        self.entry = self.runner.entry(self.number, boot_at=self.runner.host.unix_time(now))
+        self.announce(ACTIVE, self.runner.script.roster.add)
+        self.runner.spawn(self.open())
+        self.runner.pause_later(self)
 
-    def list(self, state: str, after: float) -> None:
-        """The roster sees it, and each dispatcher's agent hears of it in its own time."""
-        self.stage.list_change(self.entry, state, after)
+    def announce(self, state: str, after: float) -> None:
+        """Announce a state to the agents of all dispatchers, after the delay of the discovery service."""
+        self.runner.list_change(self.entry, state, after)
 
     def hang(self, until: int) -> None:
         self.tick()
         self.hung_until = max(self.hung_until, until)
         self.worker.hold(until)
-        self.troubled_at = until
+        self.disturbed_at = until
         self.schedule()
 
     def pause(self, until: int) -> None:
@@ -455,17 +466,17 @@
         if not self.worker.up:
             return
         self.tick()
-        self.list(LEAVING, self.stage.script.roster.notice)
-        for word in self.worker.drain(self.stage.host.now()):
-            self.tell(word)
+        self.announce(LEAVING, self.runner.script.roster.notice)
+        for report in self.worker.drain(self.runner.host.now()):
+            self.send_report(report)
         self.schedule()
 
     def reset_connections(self) -> None:
-        for end in list(self.ends):
-            self.stage.host.reset(end.transport)
-        for lines in self.lines:
-            lines.close(reset=True)
+        for connection in list(self.open_connections):
+            self.runner.host.reset(connection.transport)
+        for pool in self.lines:
+            pool.close(reset=True)
 
     def cut_from(self, dispatcher: int) -> bool:
-        there = Machine(DISPATCHER, dispatcher, self.stage.zone_of(dispatcher))
-        return self.stage.links.cut(self.machine, there)
+        there = Machine(DISPATCHER, dispatcher, self.runner.zone_of(dispatcher))
+        return self.runner.links.cut(self.machine, there)
--- a/tests/dispatcher/test_cancellation.py
+++ b/tests/dispatcher/test_cancellation.py
@@ -311,7 +311,7 @@
     Where silence ends attempts, their retries run beside them. No rule may be broken in the whole run, and
     all workers are up at its end.
     """
-    told = in_virtual_time(with_seed(script.load(ZONE_LOST), seed)).told
+    told = in_virtual_time(with_seed(script.load(ZONE_LOST), seed)).outcome
     assert not any(told["rules"].values()), told["broken"][:3]
     assert min(one["up"] for one in told["over_time"]) == 6 and told["over_time"][-1]["up"] == 12
 
@@ -327,4 +327,4 @@
         return True
 
     monkeypatch.setattr(CancellationDelivery, "deliver", delivered_at_once)
-    assert in_virtual_time(script.load(ZONE_LOST)).told["rules"]["copies"] > 0
+    assert in_virtual_time(script.load(ZONE_LOST)).outcome["rules"]["copies"] > 0
--- a/tests/dispatcher/test_many_dispatchers.py
+++ b/tests/dispatcher/test_many_dispatchers.py
@@ -309,7 +309,7 @@
     """)
     calls: list[int] = []
     played = in_virtual_time(rough, lambda stage, now: calls.append(stage.calls.call_count))  # type: ignore
-    assert not any(played.told["rules"].values())
+    assert not any(played.outcome["rules"].values())
     assert calls[-1] <= 30, "two starts of eight, and a few that were turned away"
 
 
--- a/tests/durable/test_crashes.py
+++ b/tests/durable/test_crashes.py
@@ -42,7 +42,7 @@
 
 
 def run_report(text: str) -> dict[str, Any]:
-    return in_virtual_time(script.parse(text)).told
+    return in_virtual_time(script.parse(text)).outcome
 
 
 def check_report(report: dict[str, Any]) -> dict[str, int]:
@@ -98,7 +98,7 @@
 
     Whatever comes together, no accepted job may be lost or duplicated.
     """
-    check_report(in_virtual_time(random_scenario.draw(seed, durable=True)).told)
+    check_report(in_virtual_time(random_scenario.draw(seed, durable=True)).outcome)
 
 
 def test_killed_processes_on_a_real_disk_lose_and_duplicate_no_job(tmp_path: Path) -> None:
@@ -110,11 +110,11 @@
     text += '[[incident]]\nat = 1.5\nfor = 0.5\ngap = 1.5\nspread = 0.0\nwhom = "all"\n'
     text += 'what = "kill-dispatcher"\n'
     played = asyncio.run(on_loopback(script.parse(text), ROOT, tmp_path))
-    durable: dict[str, int] = played.told["durable"]
-    assert durable["lost"] == 0 and played.told["doubled_records"] == 0 and durable["kills"] == 2
-    assert not any(played.told["rules"].values()), played.told["broken"][:3]
+    durable: dict[str, int] = played.outcome["durable"]
+    assert durable["lost"] == 0 and played.outcome["doubled_records"] == 0 and durable["kills"] == 2
+    assert not any(played.outcome["rules"].values()), played.outcome["broken"][:3]
     assert durable["accepted"] == durable["done"] + durable["denied"] + durable["terminated"] > 15
-    assert any("jobs_recovered" in line and "records=0" not in line for line in played.said)
+    assert any("jobs_recovered" in line and "records=0" not in line for line in played.log_lines)
 
 
 @pytest.mark.parametrize("unsupported", ["[dispatcher.settings]\nStep = 8.0\n", "[roster]\ncall = 0.1\n"])
--- a/tests/simulation/test_checker.py
+++ b/tests/simulation/test_checker.py
@@ -169,7 +169,7 @@
     if decisions is not None:
         monkeypatch.setattr(node_module, "Scheduler", decisions)
     chosen = script.parse(more + QUIET if not more.startswith("[[") else QUIET + more)
-    return in_virtual_time(chosen).told
+    return in_virtual_time(chosen).outcome
 
 
 def broken(told: dict[str, Any]) -> set[str]:
@@ -236,7 +236,7 @@
     text = text.replace("incident = []\n", "" if incident else "incident = []\n")
     quick = "[roster]\nnotice = 0.2\nadd = 0.2\n[worker]\ncold_from = 0.1\nqueue = 99"
     text = text.replace("[worker]", quick)
-    told = in_virtual_time(script.parse(text)).told
+    told = in_virtual_time(script.parse(text)).outcome
     assert broken(told) == rules, told["broken"][:5]
 
 
@@ -289,7 +289,7 @@
 def test_what_a_killed_dispatcher_held_is_its_clients_to_retry_and_blamed_on_nobody() -> None:
     text = QUIET.replace("incident = []\n", "").replace("retries = 0.0", "retries = 2.0")
     text += '[[incident]]\nat = 3.0\nfor = 1.0\nwhat = "kill-dispatcher"\nwhom = "d0"\n'
-    told = in_virtual_time(script.parse(text)).told
+    told = in_virtual_time(script.parse(text)).outcome
     assert not broken(told) and told["answers"]["broken off"] > 0
     assert told["answers"]["no dispatcher"] > 0  # until the front has noticed
 
@@ -300,14 +300,14 @@
     for number in range(4):
         text += f'[[incident]]\nat = {1 + number}.0\nfor = 1.0\nwhat = "trap"\nwhom = "w{number}"\n'
         text += f'point = "{point}"\n'
-    told = in_virtual_time(script.parse(text)).told
+    told = in_virtual_time(script.parse(text)).outcome
     assert not broken(told) and told["service"] > 0.5
     assert any(one["up"] < 4 for one in told["over_time"])  # it did die
 
 
 def test_callbacks_before_the_202_and_twice_change_nothing() -> None:
     text = QUIET.replace("early = 0.0", "early = 1.0\ntwice = 1.0")
-    told = in_virtual_time(script.parse(text)).told
+    told = in_virtual_time(script.parse(text)).outcome
     assert not broken(told) and set(told["answers"]) <= {"done", "denied"}
     assert told["service"] > 0.9
 
@@ -321,6 +321,6 @@
 
 
 def test_service_of_windows_and_of_the_worst_ten_seconds() -> None:
-    told = in_virtual_time(script.parse(QUIET)).told
-    assert len(told["windows_5s"]) == 2 and outcome.worst([], 8.0) is None
+    told = in_virtual_time(script.parse(QUIET)).outcome
+    assert len(told["windows_5s"]) == 2 and outcome.worst_window_service([], 8.0) is None
     assert told["worst_10s"] == told["service"]  # a day shorter than that is its own worst
--- a/tests/simulation/test_cluster_scenarios.py
+++ b/tests/simulation/test_cluster_scenarios.py
@@ -37,10 +37,10 @@
 
 def test_a_cut_and_lost_talk_breaks_no_promise_and_the_same_day_comes_again() -> None:
     script = shorter("accord-cut")
-    first = play.in_virtual_time(script).told
-    assert not outcome.broken(first), first["accord"]
+    first = play.in_virtual_time(script).outcome
+    assert not outcome.count_violations(first), first["accord"]
     assert first["accord"]["changes"] > 20 and first["accord"]["ledgers_at_the_end"] == 1
-    again = play.in_virtual_time(script).told
+    again = play.in_virtual_time(script).outcome
     assert json.dumps(again) == json.dumps(first)
 
 
@@ -49,15 +49,15 @@
         return int(self.divisible[budget])
 
     monkeypatch.setattr(giver.Allocator, "share_for", whole)
-    told = play.in_virtual_time(shorter("accord-calm")).told
-    assert told["accord"]["overruns"] and outcome.broken(told)
+    told = play.in_virtual_time(shorter("accord-calm")).outcome
+    assert told["accord"]["overruns"] and outcome.count_violations(told)
 
 
 def test_processes_lend_while_an_owner_is_idle_and_it_has_its_own_again(tmp_path: Path) -> None:
     script = shorter("accord-lend")
     tenants = [msgspec.structs.replace(one, idle=[[0.5, 7.0]] if one.idle else []) for one in script.tenant]
     script = msgspec.structs.replace(script, tenant=tenants)
-    told = asyncio.run(play.on_loopback(script, HERE, tmp_path)).told
+    told = asyncio.run(play.on_loopback(script, HERE, tmp_path)).outcome
     accord = told["accord"]
     assert not accord["overruns"] and accord["loans"] and accord["ledgers_at_the_end"] == 1
     assert not accord["late_reclaims"]
@@ -92,6 +92,6 @@
 
 def test_late_reclaims_and_unequal_ledgers_are_breaches() -> None:
     fine = {"overruns": 0, "late_reclaims": 0, "ledgers_at_the_end": 1}
-    assert agreed.breaches(None) == agreed.breaches(fine) == 0
+    assert agreed.count_cluster_violations(None) == agreed.count_cluster_violations(fine) == 0
     for key, value in (("overruns", 2), ("late_reclaims", 1), ("ledgers_at_the_end", 2)):
-        assert agreed.breaches(fine | {key: value})
+        assert agreed.count_cluster_violations(fine | {key: value})
--- a/tests/simulation/test_latency.py
+++ b/tests/simulation/test_latency.py
@@ -18,7 +18,7 @@
     """Links whose delay falls with each piece, so that each is due with the one before it."""
 
     delay_left: int = 50_000
-    ways: dict[DelayedDirection, None] = field(default_factory=dict)
+    directions: dict[DelayedDirection, None] = field(default_factory=dict)
 
     @property
     def links(self) -> FallingDelays:
--- a/tests/simulation/test_simulate.py
+++ b/tests/simulation/test_simulate.py
@@ -17,8 +17,7 @@
 from click.testing import CliRunner
 
 from locktide.cli.main import main
-from locktide.cli.simulate import BROKEN, LATE, seeds_of
-from locktide.cli.simulate import code as exit_code
+from locktide.cli.simulate import EXIT_BROKEN, EXIT_LATE, outcome_exit_code, parse_seeds
 from locktide.config.errors import ConfigFileError
 from locktide.config.installation.loading import load_installation, parse_installation
 from locktide.config.installation.start import start_from_installation
@@ -107,20 +106,20 @@
     assert first.stdout == second.stdout and json.loads(first.stdout)["jobs"] > 20
     # Whatever was played before it in the same process.
     in_virtual_time(rough.draw(3))
-    assert json.dumps(in_virtual_time(script.load(short)).told) == first.stdout.strip()
+    assert json.dumps(in_virtual_time(script.load(short)).outcome) == first.stdout.strip()
 
 
 def test_another_seed_is_another_day(short: Path) -> None:
     told = script.load(short)
-    one, other = (in_virtual_time(with_seed(told, seed)).told for seed in (1, 2))
+    one, other = (in_virtual_time(with_seed(told, seed)).outcome for seed in (1, 2))
     assert one["windows_5s"] != other["windows_5s"] or one["jobs"] != other["jobs"]
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
 def test_rough_days_break_no_rule(seed: int) -> None:
     told = in_virtual_time(rough.draw(seed))
-    assert not any(told.told["rules"].values()), told.told["broken"][:3]
-    assert not [line for line in told.said if "the scheduler failed" in line]
+    assert not any(told.outcome["rules"].values()), told.outcome["broken"][:3]
+    assert not [line for line in told.log_lines if "the scheduler failed" in line]
 
 
 def test_loopback_plays_the_same_script_breaks_no_rule_and_comes_close(short: Path, tmp_path: Path) -> None:
@@ -131,17 +130,17 @@
     bring about must hold all the same.
     """
     chosen = script.load(short)
-    played = asyncio.run(on_loopback(chosen, HERE, tmp_path)).told
+    played = asyncio.run(on_loopback(chosen, HERE, tmp_path)).outcome
     by_rule = played["rules"]
     assert not any(by_rule[rule] for rule in ("extra", "forged", "strays")), played["broken"][:3]
     assert played["complete"] and played["crashed"] == 0
-    virtual = in_virtual_time(chosen).told
+    virtual = in_virtual_time(chosen).outcome
     if played["counts"]:
         assert not any(by_rule.values()), played["broken"][:3]
         assert abs(played["jobs"] - virtual["jobs"]) <= 3  # clients that close early may be answered first
         assert played["service"] == pytest.approx(virtual["service"], abs=0.25)
     else:
-        assert exit_code(played) == (BROKEN if any(by_rule.values()) else LATE)
+        assert outcome_exit_code(played) == (EXIT_BROKEN if any(by_rule.values()) else EXIT_LATE)
     assert 0 < played["dispatcher_memory_mb"] < 60 and played["dispatcher_descriptors"] > 5
     assert {one["what"] for one in played["incidents"]} >= {"kill", "vanish", "drain"}
     assert min(one["up"] for one in played["over_time"]) <= 4
@@ -250,11 +249,11 @@
     assert run(main, ["simulate", "nowhere.toml"]).exit_code == 2
     assert run(main, ["check"]).exit_code == 2
     assert run(main, ["serve", "nowhere.toml"]).exit_code == 2
-    assert seeds_of("1,4-6,4") == [1, 4, 5, 6]
+    assert parse_seeds("1,4-6,4") == [1, 4, 5, 6]
 
 
 def test_the_report_holds_all_it_needs_and_pictures_beside_it(short: Path, tmp_path: Path) -> None:
-    told = in_virtual_time(script.load(short)).told
+    told = in_virtual_time(script.load(short)).outcome
     page = plots.write(told, tmp_path / "out")
     text = page.read_text()
     assert text.count("data:image/png;base64,") == 4 and "http" not in text.replace("http-equiv", "")
@@ -299,7 +298,7 @@
         -0.0101,
         0.2768,
     )
-    assert not found.told_apart
+    assert not found.is_significant
     with pytest.raises(ValueError):
         compare.paired({1: 0.5}, {1: 0.6})
 
@@ -409,7 +408,7 @@
 
 def test_the_shape_of_a_day_follows_a_recorded_incident() -> None:
     chosen = script.load(HERE / "deploy" / "scenarios" / "two-restarts.toml")
-    days = [in_virtual_time(with_seed(chosen, seed)).told["windows_5s"] for seed in range(1, 6)]
+    days = [in_virtual_time(with_seed(chosen, seed)).outcome["windows_5s"] for seed in range(1, 6)]
     shape = np.mean(days, axis=0)
     assert np.corrcoef(shape, RECORDED)[0, 1] >= LEAST_CORRELATION
     assert np.abs(shape - RECORDED).max() <= LARGEST_DIFFERENCE
--- a/tests/simulation/test_virtual_time.py
+++ b/tests/simulation/test_virtual_time.py
@@ -124,7 +124,7 @@
         await asyncio.sleep(60)
         assert not got
         bench.wires.is_cut = False
-        bench.net.healed()
+        bench.net.links_restored()
         await asyncio.sleep(1)
 
     bench.run(talk())
--- a/tests/soak/stage.py
+++ b/tests/soak/stage.py
@@ -282,7 +282,7 @@
 
     def time_left(self, tried: RequestTry, now: int) -> float:
         """Return how many seconds are left to the client; a durable job has its limit, and nobody waits."""
-        if tried.ask.grade.name in self.kept_grades:
+        if tried.ask.grade.name in self.durable_classes:
             return self.script.durable.limit
         return (self.sent_at[tried.id] + tried.ask.limit - now) / 1e6
 
--- a/tests/soak/virtual.py
+++ b/tests/soak/virtual.py
@@ -48,7 +48,7 @@
     gc.disable()
     try:
         loop.run_until_complete(_play(stage, host))
-        stage.collect(host.said)
+        stage.collect(host.log_lines)
         stage.close()
         loop.run_until_complete(host.clear_away())
         loop.run_until_complete(asyncio.sleep(1.0))
@@ -81,10 +81,10 @@
         await stage.watch_ledgers()
         stage.check_quotas(*host.traced())
     await asyncio.sleep(QUIET)
-    for line in host.said:
+    for line in host.log_lines:
         if any(text in line for text in FAULT_LINES):
             stage.findings.add(f"log: {line}")
-    stage.check_reloads(host.said)
+    stage.check_reloads(host.log_lines)
     for number, node in host.nodes.items():
         if host.dispatcher_runs(number):
             _check_left(stage, number, node)
--- a/tests/test_parsed_values.py
+++ b/tests/test_parsed_values.py
@@ -278,7 +278,7 @@
         parts["durable"] = rendered_config.durable(parsed)
     if parsed.accord.on:
         addresses = [f"127.0.0.1:{7100 + number}" for number in range(parsed.fleet.dispatchers)]
-        cluster_section = rendered_config.agreed(parsed, addresses[0], "", addresses, "")
+        cluster_section = rendered_config.cluster_section(parsed, addresses[0], "", addresses, "")
         parts["agreed"] = cluster_section
         parts["accord"] = cluster_config(rendered_config.installation(parsed, "d0", cluster_section))
     return parts
