--- a/locktide/simulation/client_site.py
+++ b/locktide/simulation/client_site.py
@@ -19,9 +19,8 @@
 POLL_INTERVAL = 0.5  # seconds between two polls of a durable job
 RESPONSE_TIMEOUT = 2.0  # seconds for a response that does not wait for a worker
 DURABLE_GRACE = 20.0  # seconds past its time limit for which a durable job is polled
-CLOSE_PROCESSING_TIME = (
-    10_000  # microseconds that this machine may need to process a close that crosses a send
-)
+# Microseconds that this machine may need to process a close that crosses a send.
+CLOSE_PROCESSING_TIME = 10_000
 
 
 class ClientSite:
--- a/locktide/simulation/model/traffic.py
+++ b/locktide/simulation/model/traffic.py
@@ -182,7 +182,7 @@
         if dispatcher in self.in_service and self.in_service[dispatcher]:
             self.removal_at.setdefault(dispatcher, now + self.notice)
 
-    def ready(self, dispatcher: int) -> None:
+    def note_ready(self, dispatcher: int) -> None:
         """Put a dispatcher in service that has answered a readiness check."""
         if dispatcher in self.in_service:
             self.in_service[dispatcher] = True
--- a/locktide/simulation/model/worker.py
+++ b/locktide/simulation/model/worker.py
@@ -30,10 +30,9 @@
     ends_at: float = 0.0  # on the scale of EmulatedWorker.done
     begins_at: float = 0.0  # the same
     reported_at: int = 0  # time of the last progress report
-    seen: DeduplicationRecord | None = (
-        None  # for a numbered job: the record of its pod at the time of acceptance
-    )
-    given_up: bool = False  # cancelled by its dispatcher: nothing more is reported
+    # For a numbered job: the record of its pod at the time of acceptance.
+    seen: DeduplicationRecord | None = None
+    is_cancelled: bool = False  # cancelled by its dispatcher: nothing more is reported
 
 
 @dataclass(slots=True)
@@ -81,17 +80,15 @@
 
     def start(self, now: int, cold: bool) -> None:
         """Start as a new process, without jobs or any other state."""
-        self.at, self.done = (
-            now,
-            0.0,
-        )  # time of the last update, and the work done by each busy core until then
+        # The time of the last update, and the work done by each busy core until then.
+        self.at, self.done = now, 0.0
         self.started_at = now if cold else now - self.config.cold_for
         self.up, self.draining, self.held_until = True, False, 0
         self.queue: deque[RunningJob] = deque()
         self.jobs: dict[int, RunningJob] = {}  # running
         self.free_cores = self.config.cores
         self.cold_loads: deque[ColdLoadSample] = deque()
-        self.words: list[JobReport] = []
+        self.reports: list[JobReport] = []
 
     # --- speed
 
@@ -141,7 +138,7 @@
         """Return when the next report is due; None for a worker with nothing to do."""
         if not self.up:
             return None
-        if self.words:
+        if self.reports:
             return self.at
         times = []
         if self.jobs:
@@ -175,9 +172,9 @@
             for job in self.jobs.values():
                 if now - job.reported_at >= self.config.progress:
                     job.reported_at = now
-                    self.words.append(JobReport(now, job, RUNNING, self.share(job)))
-        words, self.words = self.words, []
-        return words
+                    self.reports.append(JobReport(now, job, RUNNING, self.share(job)))
+        reports, self.reports = self.reports, []
+        return reports
 
     def share(self, job: RunningJob) -> float:
         return min(1.0, max(0.0, (self.done - job.begins_at) / max(1.0, job.ends_at - job.begins_at)))
@@ -185,7 +182,7 @@
     def finish(self, job: RunningJob) -> None:
         del self.jobs[job.key]
         self.free_cores += job.width
-        self.words.append(JobReport(self.at, job, FAILED if job.fails else DONE, 1.0))
+        self.reports.append(JobReport(self.at, job, FAILED if job.fails else DONE, 1.0))
         self.start_waiting_jobs()
 
     def start_waiting_jobs(self) -> None:
@@ -198,7 +195,7 @@
             job.reported_at = self.at
             job.begins_at, job.ends_at = self.done, self.done + job.work
             self.jobs[job.key] = job
-            self.words.append(JobReport(self.at, job, STARTED))
+            self.reports.append(JobReport(self.at, job, STARTED))
 
     # --- requests of dispatchers, and faults
 
@@ -222,7 +219,7 @@
         ]
         stopped = []
         for job in matching:
-            job.given_up = True
+            job.is_cancelled = True
             if job.key in self.jobs:
                 if self.config.cancels != "running":
                     continue
@@ -250,7 +247,7 @@
     def kill(self) -> list[RunningJob]:
         """Crash; return the jobs that are lost."""
         lost = [*self.jobs.values(), *self.queue]
-        self.up, self.jobs, self.queue, self.words = False, {}, deque(), []
+        self.up, self.jobs, self.queue, self.reports = False, {}, deque(), []
         return lost
 
     def job_count(self) -> int:
--- a/locktide/simulation/plots.py
+++ b/locktide/simulation/plots.py
@@ -49,7 +49,7 @@
 
 
 def service(outcome: dict[str, Any]) -> Figure:
-    figure, axis = axes(outcome, "Service, by when it was asked for (5 s windows)", "part of the revenue")
+    figure, axis = axes(outcome, "Service by time of the request (5 s windows)", "part of the revenue")
     values = outcome["windows_5s"]
     edges = [5 * number for number in range(len(values) + 1)]
     axis.stairs([value or 0.0 for value in values], edges, color="#111827", fill=False, lw=1.6)
@@ -125,7 +125,7 @@
         for name, data in pictures.items()
     )
     tables = (
-        table(["service grade", "service", "done", "half wait s", "99% wait s"], grades)
+        table(["service grade", "service", "done", "p50 wait s", "p99 wait s"], grades)
         + table(["rule", "broken"], [[name, count] for name, count in outcome["rules"].items()])
         + table(["at s", "for s", "incident", "whom"], incidents)
     )
--- a/locktide/simulation/run.py
+++ b/locktide/simulation/run.py
@@ -22,9 +22,8 @@
 from locktide.simulation.virtual_backend import VirtualBackend
 from locktide.simulation.virtual_time.loop import VirtualLoop
 
-ProgressCallback = Callable[
-    [ScenarioRunner, int], None
-]  # called about once a second during a run, with the time in microseconds
+# Called once or twice a second during a run, with the time in microseconds.
+ProgressCallback = Callable[[ScenarioRunner, int], None]
 
 
 class RunFailedError(RuntimeError):
@@ -42,7 +41,7 @@
 
 
 def attach_in_virtual_time(scenario: Scenario, runner: ScenarioRunner, host: VirtualBackend) -> None:
-    """Connect a host to its stage, with the disks and the agreement that the script asks for."""
+    """Connect a backend to its runner, with the disks and the cluster that the scenario configures."""
     host.links, host.on_crash_point = runner.links, runner.reach_crash_point
     if scenario.durable.on:
         durable = scenario.durable
@@ -61,7 +60,7 @@
 
 
 async def attach_on_loopback(scenario: Scenario, runner: ScenarioRunner, host: ProcessBackend) -> None:
-    """Connect a host to its stage, with the disks and the agreement that the script asks for."""
+    """Connect a backend to its runner, with the disks and the cluster that the scenario configures."""
     if scenario.durable.on or scenario.accord.on:
         check_loopback_support(scenario)
         host.as_file = lambda start_config, directory, accord: rendered_config.as_file(
@@ -107,7 +106,7 @@
         if scenario.accord.on:
             digests = loop.run_until_complete(host.digests())
             run_outcome["accord"] = cluster_figures(runner, *host.traced(), digests)
-        errors = [describe(context) for context in loop.trouble]
+        errors = [describe(context) for context in loop.unhandled]
         runner.close()
         loop.run_until_complete(host.clear_away())
         loop.run_until_complete(asyncio.sleep(1.0))
--- a/locktide/simulation/scenario_runner.py
+++ b/locktide/simulation/scenario_runner.py
@@ -27,9 +27,8 @@
 from locktide.simulation.worker_site import SETTLING_TIME, WorkerConnection, WorkerSite
 
 READY_TIMEOUT = 30.0  # seconds for all dispatchers to be ready before the traffic begins
-TAKEN_OUT_AFTER = (
-    300_000  # microseconds until a stopped dispatcher gets no more requests; 0.2 to 0.4 s on the platform
-)
+# Microseconds until load balancers take a stopped dispatcher out of service; 0.2 to 0.4 s on the platform.
+TAKEN_OUT_AFTER = 300_000
 # Microseconds from the sending of a cancellation until an attempt that may follow it has arrived.
 CANCELLATION_TRANSIT_TIME = 1_000_000
 HEAL_TIME = 5_000  # microseconds, beside the delay, until everything held back by a restored link has arrived
@@ -193,7 +192,7 @@
             return None
         return since
 
-    def list_change(self, entry: ListedWorker, state: str, after: float) -> None:
+    def announce_change(self, entry: ListedWorker, state: str, after: float) -> None:
         changed = ListedWorker(
             entry.number, entry.uid, entry.zone, entry.model, entry.pod, state, entry.rating, entry.boot_at
         )
@@ -203,9 +202,9 @@
             self.agents[number].change(due, changed)
             site.changed()
 
-    def running(self, by: int) -> None:
+    def add_running_jobs(self, count: int) -> None:
         """Change the number of jobs that use the shared resource."""
-        self.shared.running += by
+        self.shared.running += count
         if self.shared.capacity:
             self.apply_shared_slowdown()
 
@@ -215,8 +214,8 @@
         if abs(factor - self.workers[0].worker.shared) < 0.02:
             return
         for site in self.workers:
-            if site.worker.up and not site.worker.words:
-                site.worker.words = site.worker.advance(self.host.now())
+            if site.worker.up and not site.worker.reports:
+                site.worker.reports = site.worker.advance(self.host.now())
             site.worker.shared = factor
         for site in self.workers:
             site.schedule()
@@ -226,7 +225,7 @@
             min(MAX_RECORDED_WAIT, max(1, request.answered_at - request.at))
         )
 
-    def pause_later(self, site: WorkerSite) -> None:
+    def schedule_pause(self, site: WorkerSite) -> None:
         """Schedule the next of the short random pauses of a worker."""
         terms, life = self.script.worker, site.life
         if not terms.pause_every or not terms.pause:
@@ -238,7 +237,7 @@
         def pause() -> None:
             if site.life == life and site.worker.up and not self.ended:
                 site.pause(self.host.now() + int(span * 1e6))
-                self.pause_later(site)
+                self.schedule_pause(site)
 
         self.host.call_at(self.host.now() + int(gap * 1e6), pause)
 
@@ -317,7 +316,7 @@
                         reply = await connection.ask(UpstreamRequest("GET", "/health/ready", []))
                     if reply.status == 200 and dispatcher.life == life and dispatcher.alive:
                         for each in self.clients:
-                            each.front.ready(number)
+                            each.front.note_ready(number)
                 except (OSError, TimeoutError, ProtocolError):
                     pass  # not ready
                 finally:
@@ -354,7 +353,7 @@
         self.host.begin()
         for worker in self.workers:
             worker.worker.start(self.host.now(), cold=False)
-            self.pause_later(worker)
+            self.schedule_pause(worker)
         self.timeline.set()
         self.spawn(self.sample())
         sender = self.spawn(self.send_requests())
--- a/locktide/simulation/virtual_backend.py
+++ b/locktide/simulation/virtual_backend.py
@@ -81,9 +81,8 @@
         self.nodes: dict[int, Dispatcher] = {}  # of the processes that have started
         self.begun = 0.0
         self.log_lines: list[str] = []
-        self.durable: tuple[DurableJobsSection, int, float, float] | None = (
-            None  # terms, seed, latency, zeros
-        )
+        # Settings, seed, sync latency in seconds, and part of the crashes that leave zeros.
+        self.durable: tuple[DurableJobsSection, int, float, float] | None = None
         self.platters: dict[int, VirtualDisk] = {}
         self.on_crash_point: Callable[[int, str], None] = lambda number, name: None
         self.all_processes: list[VirtualProcess] = []  # also those that have ended
@@ -209,7 +208,7 @@
     def on_dispatcher_ended(self, done: asyncio.Task[None]) -> None:
         """Record the exception of a dispatcher that failed; it would otherwise pass for a silent one."""
         if not done.cancelled() and (error := done.exception()) is not None:
-            self.loop.trouble.append({"message": "a dispatcher ended", "exception": error})
+            self.loop.unhandled.append({"message": "a dispatcher ended", "exception": error})
 
     def stop_dispatcher(self, number: int) -> None:
         self.processes[number][1].set()
@@ -264,7 +263,7 @@
             process.drop()
 
     def measures(self) -> dict[str, Any]:
-        return {"connections": self.net.connected}
+        return {"connections": self.net.connection_count}
 
     # --- the machine under a dispatcher
 
--- a/locktide/simulation/virtual_time/listening.py
+++ b/locktide/simulation/virtual_time/listening.py
@@ -58,16 +58,16 @@
     async def wait_closed(self) -> None:
         pass
 
-    def come(self, end: VirtualTransport) -> None:
-        """Take a connection whose handshake is over; one that comes after the close is reset."""
+    def add_connection(self, transport: VirtualTransport) -> None:
+        """Add a connection whose handshake is complete; reset it if the listener is closed."""
         if self.closed:
-            end.reset()
+            transport.reset()
             return
-        end.data_at = self.net.loop.time()
+        transport.data_at = self.net.loop.time()
         if self.factory is not None:
-            end.begin(self.factory(), self.context)
+            transport.begin(self.factory(), self.context)
             return
-        self.queue.append(AcceptedSocket(end))
+        self.queue.append(AcceptedSocket(transport))
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
@@ -76,18 +76,18 @@
             self.waiter = self.net.loop.create_future()
             await self.waiter
         accepted = self.queue.popleft()
-        return accepted, accepted.end.peer_address
+        return accepted, accepted.transport.peer_address
 
 
 class AcceptedSocket:
-    """A connection that was accepted and has no protocol yet; what comes meanwhile is kept."""
+    """An accepted connection without a protocol yet; data that arrives meanwhile is kept."""
 
-    def __init__(self, end: VirtualTransport) -> None:
-        self.end = end
+    def __init__(self, transport: VirtualTransport) -> None:
+        self.transport = transport
 
     def begin(self, protocol: Any) -> VirtualTransport:
-        self.end.begin(protocol, contextvars.copy_context())
-        return self.end
+        self.transport.begin(protocol, contextvars.copy_context())
+        return self.transport
 
     def close(self) -> None:
-        self.end.reset()
+        self.transport.reset()
--- a/locktide/simulation/virtual_time/loop.py
+++ b/locktide/simulation/virtual_time/loop.py
@@ -1,4 +1,4 @@
-"""The event loop: callbacks in order of their moment, then of their making; nothing ever waits for real."""
+"""The event loop: runs callbacks in order of their time, then of their creation; it never really waits."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 from locktide.simulation.virtual_time.process import PROCESS, VirtualProcess
 
-# A loop that does nothing but call itself would never let time pass: a fault in what runs on it.
-MOST_AT_ONCE = 2_000_000
+# Callbacks that only schedule each other at once would never let time advance: a fault in the code that runs.
+MAX_CALLBACKS_AT_ONCE = 2_000_000
 
 
 class Network(Protocol):
-    """Where connections are made; joined to the loop by `VirtualLoop.network`."""
+    """The network of a loop, set as `VirtualLoop.network`; it creates connections."""
 
     def listen(self, factory: Callable[[], asyncio.BaseProtocol], host: str, port: int) -> Any: ...
 
@@ -24,7 +24,7 @@
 
 
 class DeadlockError(RuntimeError):
-    """Nothing is left to do, and what was waited for has not come."""
+    """No callback or timer is left before the awaited result exists, or callbacks never let time advance."""
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
@@ -34,9 +34,9 @@
         self.now = 0.0
         self.ready: deque[tuple[asyncio.Handle, VirtualProcess | None]] = deque()
         self.timers: list[tuple[float, int, asyncio.Handle, VirtualProcess | None]] = []
-        self.made = 0
+        self.handle_count = 0
         self.stopping = self.running = self.closed = False
-        self.trouble: list[dict[str, Any]] = []  # what was raised where nobody catches it
+        self.unhandled: list[dict[str, Any]] = []  # contexts of exceptions that no code has handled
         self.ran = 0
 
     # --- time
@@ -62,8 +62,8 @@
     ) -> asyncio.TimerHandle:
         process = PROCESS.get() if context is None else context.get(PROCESS)
         handle = asyncio.TimerHandle(when, callback, args, self, context)
-        self.made += 1
-        heapq.heappush(self.timers, (when, self.made, handle, process))
+        self.handle_count += 1
+        heapq.heappush(self.timers, (when, self.handle_count, handle, process))
         return handle
 
     def call_soon_threadsafe(  # type: ignore[override]
@@ -72,7 +72,7 @@
         return self.call_soon(callback, *args, context=context)
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        pass  # it is passed over when its moment comes
+        pass  # a cancelled timer is skipped when it is due
 
     # --- running
 
@@ -95,7 +95,7 @@
                     continue
                 at_once += 1
                 self.ran += 1
-                if at_once > MOST_AT_ONCE:
+                if at_once > MAX_CALLBACKS_AT_ONCE:
                     raise DeadlockError(f"no end of work at {self.now:.6f} s: {handle!r}")
                 handle._run()
         finally:
@@ -103,12 +103,12 @@
             asyncio._set_running_loop(previous)
 
     def defer(self, handle: asyncio.Handle, process: VirtualProcess) -> None:
-        """Run a callback of a process that is held up once it runs again, in the order of their calls."""
-        self.made += 1
-        heapq.heappush(self.timers, (process.held_until, self.made, handle, process))
+        """Postpone a callback of a process that is held up until it runs again, in the order of the calls."""
+        self.handle_count += 1
+        heapq.heappush(self.timers, (process.held_until, self.handle_count, handle, process))
 
     def pass_time(self) -> bool:
-        """Goes on to the next moment at which something is due; whether there is one."""
+        """Advance the time to the next due timer; return whether there is one."""
         while self.timers and (self.timers[0][2].cancelled() or self.dead(self.timers[0][3])):
             heapq.heappop(self.timers)
         if not self.timers:
@@ -175,15 +175,15 @@
         pass
 
     def default_exception_handler(self, context: dict[str, Any]) -> None:
-        self.trouble.append(context)
+        self.unhandled.append(context)
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        self.trouble.append(context)
+        self.unhandled.append(context)
 
     def add_signal_handler(  # type: ignore[override]
         self, sig: int, callback: Any, *args: Any
     ) -> None:
-        """A process in virtual time is told to stop by its host."""
+        """Ignore the handler: a process in virtual time is stopped by its backend."""
 
     def remove_signal_handler(self, sig: int) -> bool:
         return False
@@ -205,7 +205,7 @@
     async def create_datagram_endpoint(
         self, protocol_factory: Callable[[], Any], local_addr: Any = None, remote_addr: Any = None, **_: Any
     ) -> tuple[Any, Any]:
-        transport, protocol = self.network.ports.bind(protocol_factory, local_addr)
+        transport, protocol = self.network.datagrams.bind(protocol_factory, local_addr)
         return transport, protocol
 
     async def sock_accept(self, sock: Any) -> tuple[Any, Any]:
--- a/locktide/simulation/virtual_time/network.py
+++ b/locktide/simulation/virtual_time/network.py
@@ -1,7 +1,7 @@
 """The in-memory network: connections and datagrams between addresses.
 
-How long bytes take and which links are cut is asked of a `LinkModel`. Nothing is lost of a stream: what is
-sent over a cut link comes once the link is whole again, as it does when TCP sends it anew.
+A `LinkModel` determines delays and cuts. Streams lose no data: what is sent over a cut link arrives once the
+link is restored, as with retransmissions of TCP.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 class VirtualNetwork:
     """All listening sockets and connections of one virtual loop."""
 
-    def __init__(self, loop: VirtualLoop, wires: LinkModel) -> None:
-        self.loop, self.wires = loop, wires
-        self.context = contextvars.copy_context()  # of no process: bytes under way outlive their sender
+    def __init__(self, loop: VirtualLoop, links: LinkModel) -> None:
+        self.loop, self.links = loop, links
+        self.context = contextvars.copy_context()  # of no process: bytes in transit outlive their sender
         self.listeners: dict[tuple[str, int], Listener] = {}
         self.ends: dict[VirtualTransport, None] = {}
-        self.split = self.connected = 0
-        self.ports = VirtualDatagramNetwork(loop, wires)
+        self.split_count = self.connection_count = 0
+        self.datagrams = VirtualDatagramNetwork(loop, links)
         loop.network = self
 
     def listen(self, factory: Callable[[], Any] | None, host: str, port: int) -> Listener:
@@ -38,7 +38,7 @@
         return listener
 
     def socket(self, address: tuple[str, int], backlog: int) -> Listener:
-        """In place of `socket.create_server`, for who accepts by himself."""
+        """Replace `socket.create_server`, for code that accepts connections itself."""
         listener = self.listen(None, *address)
         listener.backlog = backlog
         return listener
@@ -46,43 +46,43 @@
     async def connect(self, protocol: Any, host: str, port: int, source: str | None) -> VirtualTransport:
         process = PROCESS.get()
         here = source or (process.address if process else "0.0.0.0")
-        await self.trip(here, host)
+        await self.travel(here, host)
         listener = self.listeners.get((host, port))
         refused = listener is None or len(listener.queue) >= listener.backlog
-        await self.trip(host, here)
+        await self.travel(host, here)
         if listener is None or refused:
             raise ConnectionRefusedError(111, f"{host}:{port} refused")
-        mine = VirtualTransport(self, here, host, port, process)
-        theirs = VirtualTransport(self, host, here, 0, listener.process)
-        mine.peer, theirs.peer = theirs, mine
-        self.connected += 1
-        # The third leg of the handshake: what is sent from now on comes right behind it.
-        mine.send(listener.come, theirs)
-        mine.begin(protocol, contextvars.copy_context())
+        client_side = VirtualTransport(self, here, host, port, process)
+        server_side = VirtualTransport(self, host, here, 0, listener.process)
+        client_side.peer, server_side.peer = server_side, client_side
+        self.connection_count += 1
+        # The third part of the handshake; data sent from now on arrives right after it.
+        client_side.send(listener.add_connection, server_side)
+        client_side.begin(protocol, contextvars.copy_context())
         await asyncio.sleep(0)
-        return mine
+        return client_side
 
-    async def trip(self, source: str, target: str) -> None:
-        """One way of a handshake; over a cut link it never comes."""
-        if self.wires.cut(source, target):
+    async def travel(self, source: str, target: str) -> None:
+        """Wait for one way of a handshake; over a cut link it never arrives."""
+        if self.links.cut(source, target):
             await self.loop.create_future()
-        await asyncio.sleep(self.wires.delay(source, target) / 1e6)
+        await asyncio.sleep(self.links.delay(source, target) / 1e6)
 
     def links_restored(self) -> None:
-        """Sends what waited for a link that is whole again."""
-        for end in list(self.ends):
-            if end.held and not self.wires.cut(end.here, end.there):
-                end.send_held()
+        """Send what was held back by links that are restored."""
+        for transport in list(self.ends):
+            if transport.held and not self.links.cut(transport.here, transport.there):
+                transport.send_held()
 
     def kill(self, process: VirtualProcess) -> None:
-        """The process dies: its connections are reset, new ones refused."""
+        """Kill a process: its connections are reset, new ones are refused."""
         process.kill()
         for address, listener in list(self.listeners.items()):
             if listener.process is process:
                 listener.closed = True
                 del self.listeners[address]
                 for accepted in listener.queue:
-                    accepted.end.reset()
-        for end in list(self.ends):
-            if end.process is process:
-                end.reset()
+                    accepted.transport.reset()
+        for transport in list(self.ends):
+            if transport.process is process:
+                transport.reset()
--- a/locktide/simulation/virtual_time/process.py
+++ b/locktide/simulation/virtual_time/process.py
@@ -1,4 +1,4 @@
-"""A process in virtual time: what runs in its context, and its end."""
+"""A process in virtual time: the tasks in its context, and its end."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 
 
 class VirtualProcess:
-    """Once killed, nothing of it runs again; what it had begun is kept, so that no clean-up runs either."""
+    """A process; once killed, none of its code runs, not even clean-up code, as its tasks are kept."""
 
     def __init__(self, name: str, address: str) -> None:
         self.name, self.address = name, address
         self.dead = False
-        self.held_until = 0.0  # nothing of it runs before: it gets no processor
+        self.held_until = 0.0  # none of its callbacks run before, as without a processor
         self.tasks: list[Any] = []
-        self.kept: list[Any] = []  # of a dead process, so that nothing is collected while others go on
+        # Tasks of a dead process, so that they are not garbage-collected while others run.
+        self.kept: list[Any] = []
 
     def hold(self, task: Any) -> None:
-        # Only what has not ended is of use; swept when it has doubled, so that holding costs little.
+        # Ended tasks are removed when the list has doubled, so that the cost per task stays small.
         self.tasks.append(task)
         if len(self.tasks) > 64 and not len(self.tasks) & (len(self.tasks) - 1):
-            self.tasks = [one for one in self.tasks if not one.done()]
+            self.tasks = [held for held in self.tasks if not held.done()]
 
     def kill(self) -> None:
         self.dead = True
         self.kept = [(task, task.get_coro()) for task in self.tasks if not task.done()]
 
     async def clear_away(self) -> None:
-        """Once all is over: ends what was left hanging, so that nothing is collected half-way."""
+        """Cancel all tasks left after the run, so that none is garbage-collected half-way."""
         self.dead, left = False, [task for task in self.tasks if not task.done()]
         for task in left:
             task.cancel()
@@ -37,8 +38,10 @@
             await asyncio.wait(left, timeout=30.0)
 
     def drop(self) -> None:
-        """Once the loop has ended: closes what could not be ended, as the step that would have woken it was
-        passed over. Outside of any task, so that no timer it sets on its way out can end another.
+        """Close the coroutines that could not be cancelled, after the end of the loop.
+
+        The callback that would have resumed such a task was skipped. This runs outside of any task, so that a
+        timer that a coroutine sets while it is closed cannot end another one.
         """
         for task in self.tasks:
             if not task.done():
--- a/locktide/simulation/virtual_time/stream.py
+++ b/locktide/simulation/virtual_time/stream.py
@@ -19,7 +19,7 @@
     def delay(self, source: str, target: str) -> int: ...
 
     def split(self, size: int) -> int:
-        """The byte at which a write is cut in two, 0 for whole."""
+        """Return the byte at which a write is split in two, 0 for none."""
 
     def carried(self, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]: ...
 
@@ -31,17 +31,17 @@
 
     Attributes:
         loop: The loop.
-        wires: How the network behaves between two addresses.
-        context: In which bytes travel: of no process, as they outlive their sender.
-        ends: All sides that are open.
-        split: How many writes were cut in two.
+        links: How the network behaves between two addresses.
+        context: The context in which bytes travel: of no process, as they outlive their sender.
+        ends: All open sides of connections.
+        split_count: Number of writes that were split in two.
     """
 
     loop: VirtualLoop
-    wires: LinkModel
+    links: LinkModel
     context: contextvars.Context
     ends: dict[VirtualTransport, None]
-    split: int
+    split_count: int
 
 
 class VirtualTransport(asyncio.Transport):
@@ -56,14 +56,14 @@
         self.peer: VirtualTransport
         self.protocol: Any = None
         self.context: contextvars.Context | None = None
-        self.sent_until = 0.0  # nothing sent later comes sooner
-        self.data_at: float = net.loop.time()  # when data last came in; before any, when it was opened
+        self.sent_until = 0.0  # nothing sent later arrives earlier
+        self.data_at: float = net.loop.time()  # when data was last received; at first, when it was opened
         self.held: list[tuple[Callable[..., None], Any]] = []  # sent over a cut link
-        self.unread: deque[Any] = deque()  # came while nobody read; None is the end of the stream
+        self.unread: deque[Any] = deque()  # received, but not read; None is the end of the stream
         self.paused = self.closing = self.lost = self.ended = False
         net.ends[self] = None
 
-    # --- what a protocol may ask
+    # --- transport interface
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         info = {"peername": self.peer_address, "sockname": (self.here, 0), "socket": VirtualSocket(self)}
@@ -73,7 +73,7 @@
         return self.net.loop.time() - self.data_at
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        pass  # the kernel takes all at once
+        pass  # the emulated kernel accepts all data at once
 
     def get_write_buffer_size(self) -> int:
         return 0
@@ -90,7 +90,7 @@
     def resume_reading(self) -> None:
         self.paused = False
         if self.unread:
-            self.net.loop.call_soon(self.read_on, context=self.context)
+            self.net.loop.call_soon(self.deliver_unread, context=self.context)
 
     def can_write_eof(self) -> bool:
         return True
@@ -105,12 +105,12 @@
         if self.closing or self.ended or not data:
             return
         data = bytes(data)
-        place = self.net.wires.split(len(data))
-        if place:
-            self.net.split += 1
-            self.send(self.peer.come, data[:place])
-            data = data[place:]
-        self.send(self.peer.come, data)
+        split_at = self.net.links.split(len(data))
+        if split_at:
+            self.net.split_count += 1
+            self.send(self.peer.receive, data[:split_at])
+            data = data[split_at:]
+        self.send(self.peer.receive, data)
 
     def writelines(self, pieces: Any) -> None:
         self.write(b"".join(bytes(piece) for piece in pieces))
@@ -118,7 +118,7 @@
     def write_eof(self) -> None:
         if not self.ended and not self.closing:
             self.ended = True
-            self.send(self.peer.come, None)
+            self.send(self.peer.receive, None)
 
     def close(self) -> None:
         if not self.closing:
@@ -130,31 +130,31 @@
         self.close()
 
     def reset(self) -> None:
-        """Ends it with a reset, as the kernel does for a process that dies."""
+        """End the connection with a reset, as the kernel does when its process crashes."""
         if not self.lost:
             self.closing = self.ended = True
             self.send(self.peer.lose, ConnectionResetError(104, "reset by the other side"))
             self.net.loop.call_soon(self.lose, None, context=self.net.context)
 
-    # --- the way of the bytes
+    # --- transfer of bytes
 
-    def send(self, what: Callable[..., None], value: Any) -> None:
-        if self.net.wires.cut(self.here, self.there):
-            self.held.append((what, value))
+    def send(self, action: Callable[..., None], value: Any) -> None:
+        if self.net.links.cut(self.here, self.there):
+            self.held.append((action, value))
             return
-        due = self.net.loop.time() + self.net.wires.delay(self.here, self.there) / 1e6
+        due = self.net.loop.time() + self.net.links.delay(self.here, self.there) / 1e6
         self.sent_until = max(self.sent_until, due)
-        self.net.loop.call_at(self.sent_until, what, value, context=self.net.context)
+        self.net.loop.call_at(self.sent_until, action, value, context=self.net.context)
 
     def send_held(self) -> None:
-        """The link is whole again."""
+        """Send what was held back by a cut link."""
         held, self.held = self.held, []
-        for what, value in held:
-            self.send(what, value)
+        for action, value in held:
+            self.send(action, value)
 
-    def come(self, data: bytes | None) -> None:
+    def receive(self, data: bytes | None) -> None:
         if self.lost or self.closing:
-            # Nobody is there to read it: the sender is told by a reset.
+            # The data can no longer be read: the sender gets a reset.
             if data is not None and not self.peer.lost and not self.peer.closing:
                 self.send(self.peer.lose, ConnectionResetError(104, "reset by the other side"))
             return
@@ -162,9 +162,9 @@
             self.data_at = self.net.loop.time()
         self.unread.append(data)
         if self.protocol is not None and len(self.unread) == 1:
-            self.net.loop.call_soon(self.read_on, context=self.context)
+            self.net.loop.call_soon(self.deliver_unread, context=self.context)
 
-    def read_on(self) -> None:
+    def deliver_unread(self) -> None:
         while self.unread and not self.paused and not self.lost and not self.closing:
             data = self.unread.popleft()
             if data is None:
@@ -176,9 +176,9 @@
                 self.protocol.data_received(data)
 
     def fill(self, data: bytes) -> None:
-        room = self.protocol.get_buffer(-1)
-        size = min(len(room), len(data))
-        room[:size] = data[:size]
+        buffer = self.protocol.get_buffer(-1)
+        size = min(len(buffer), len(data))
+        buffer[:size] = data[:size]
         if size < len(data):
             self.unread.appendleft(data[size:])
         self.protocol.buffer_updated(size)
@@ -188,20 +188,20 @@
         self.process = context.get(PROCESS)
         loop = self.net.loop
         if self.lost:
-            loop.call_soon(self.tell_lost, ConnectionResetError(104, "reset"), context=context)
+            loop.call_soon(self.notify_lost, ConnectionResetError(104, "reset"), context=context)
             return
         loop.call_soon(protocol.connection_made, self, context=context)
         if self.unread:
-            loop.call_soon(self.read_on, context=context)
+            loop.call_soon(self.deliver_unread, context=context)
 
-    def lose(self, trouble: Exception | None) -> None:
+    def lose(self, error: Exception | None) -> None:
         if self.lost:
             return
         self.lost = self.closing = True
         self.unread.clear()
         self.net.ends.pop(self, None)
         if self.protocol is not None:
-            self.net.loop.call_soon(self.tell_lost, trouble, context=self.context)
+            self.net.loop.call_soon(self.notify_lost, error, context=self.context)
 
-    def tell_lost(self, trouble: Exception | None) -> None:
-        self.protocol.connection_lost(trouble)
+    def notify_lost(self, error: Exception | None) -> None:
+        self.protocol.connection_lost(error)
--- a/locktide/simulation/worker_site.py
+++ b/locktide/simulation/worker_site.py
@@ -84,7 +84,7 @@
         if message is not None:
             if message.method == "DELETE" and message.path.startswith(names.JOBS):
                 # The sender has cancelled the attempt, even if a hanging process has not read that yet.
-                self.site.given_up(message.path[len(names.JOBS) :], self.sender)
+                self.site.mark_cancelled(message.path[len(names.JOBS) :], self.sender)
             self.waiting = True
             wait = int(self.site.runner.script.worker.handshake * 1e6) if self.first else 0
             self.first = False
@@ -104,7 +104,7 @@
         if self.idle is not None:
             self.idle.cancel()
         if self.pending is not None:  # closed before the 202, which cancels the attempt
-            self.site.give_up(self.pending.id, self.sender)
+            self.site.cancel_attempts(self.pending.id, self.sender)
 
 
 class WorkerSite:
@@ -196,7 +196,7 @@
         if connection.transport.is_closing():
             return
         if message.method == "DELETE" and message.path.startswith(names.JOBS):
-            self.give_up(message.path[len(names.JOBS) :], connection.sender)
+            self.cancel_attempts(message.path[len(names.JOBS) :], connection.sender)
             connection.reply(200)
         elif message.method == "POST":
             self.dispatched(connection, message)
@@ -243,7 +243,7 @@
         )
         self.received[key] = received
         outcome = self.worker.offer(now, job)
-        self.fall_over()
+        self.crash_if_overloaded()
         if not self.worker.up:
             return
         if outcome == FULL:
@@ -267,16 +267,16 @@
         connection.reply(202)
         self.trigger_trap("after-202")
 
-    def give_up(self, id: str, sender: int) -> None:
+    def cancel_attempts(self, id: str, sender: int) -> None:
         if not self.worker.up:
             return
         self.tick()
         for job in self.worker.withdraw(id, sender):
             self.received.pop(job.key, None)
-        self.given_up(id, sender)
+        self.mark_cancelled(id, sender)
         self.tick()
 
-    def given_up(self, id: str, sender: int) -> None:
+    def mark_cancelled(self, id: str, sender: int) -> None:
         for received in self.runner.checker.received.get(id, ()):
             if received.worker == self.number and received.dispatcher == sender:
                 self.runner.checker.settle(received, GIVEN_UP)
@@ -291,7 +291,7 @@
         if report.state == STARTED:
             if self.trigger_trap("before-started"):
                 return
-            runner.running(1)
+            runner.add_running_jobs(1)
             if job.seen is None or not job.seen.had_effect:
                 runner.checker.effect(report.at, submission, received)
             if job.seen is not None:
@@ -302,7 +302,7 @@
             if report.state != RETURNED:
                 if self.trigger_trap("before-done"):
                     return
-                runner.running(-1)
+                runner.add_running_jobs(-1)
             self.received.pop(job.key, None)
             if received is not None:
                 runner.checker.settle(
@@ -313,7 +313,7 @@
                 runner.reach_crash_point(job.sender, "done told")
                 callback["result"] = f"{job.id}/{job.key}"
                 runner.checker.record_result(job.id, callback["result"].encode())
-        if not job.given_up:
+        if not job.is_cancelled:
             self.call(job, callback)
 
     def call(self, job: RunningJob, callback: dict[str, Any]) -> None:
@@ -373,7 +373,7 @@
         self.runner.triggered_traps += 1
         return True
 
-    def fall_over(self) -> None:
+    def crash_if_overloaded(self) -> None:
         now = self.runner.host.now()
         sent = self.worker.pushed_over(now)
         if not sent:
@@ -392,7 +392,7 @@
         if not self.worker.up:
             return
         host, now = self.runner.host, self.runner.host.now()
-        self.runner.running(-len(self.worker.jobs))
+        self.runner.add_running_jobs(-len(self.worker.jobs))
         lost = self.worker.kill()
         self.life += 1
         self.disturbed_at = now
@@ -419,7 +419,7 @@
             for pool in self.lines:
                 pool.close(reset=True)
             for job in lost:
-                if not job.given_up:
+                if not job.is_cancelled:
                     callback = {"id": job.id, "from": self.entry.uid, "state": "lost"}
                     host.call_at(now + LOSS_REPORT_DELAY, self.call, job, callback)
         self.schedule()
@@ -439,11 +439,11 @@
         self.entry = self.runner.entry(self.number, boot_at=self.runner.host.unix_time(now))
         self.announce(ACTIVE, self.runner.script.roster.add)
         self.runner.spawn(self.open())
-        self.runner.pause_later(self)
+        self.runner.schedule_pause(self)
 
     def announce(self, state: str, after: float) -> None:
         """Announce a state to the agents of all dispatchers, after the delay of the discovery service."""
-        self.runner.list_change(self.entry, state, after)
+        self.runner.announce_change(self.entry, state, after)
 
     def hang(self, until: int) -> None:
         self.tick()
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -331,7 +331,7 @@
 
     try:
         rig.loop.run_until_complete(run())
-        rig.faults += [f"trouble: {one.get('exception') or one['message']}" for one in rig.loop.trouble]
+        rig.faults += [f"trouble: {one.get('exception') or one['message']}" for one in rig.loop.unhandled]
     finally:
         for task in asyncio.all_tasks(rig.loop):
             task.cancel()
--- a/tests/simulation/test_checker.py
+++ b/tests/simulation/test_checker.py
@@ -1,4 +1,4 @@
-"""Each rule is broken on purpose, by decisions made for it; the checker must see that, and nothing else."""
+"""Each rule is broken on purpose by a scheduler made for it; the checker must find that and nothing else."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from locktide.dispatcher import dispatcher as node_module
+from locktide.dispatcher import dispatcher as dispatcher_module
 from locktide.dispatcher import endpoint_directory, records
 from locktide.dispatcher.registry import RequestRegistry
 from locktide.dispatcher.request_timeouts import RequestTimeouts
@@ -22,13 +22,12 @@
     TimerFired,
 )
 from locktide.scheduler.types import EndpointState, RequestId
-from locktide.simulation import outcome
-from locktide.simulation import rendered_config as told_module
-from locktide.simulation.model import scenario as script
+from locktide.simulation import outcome, rendered_config
+from locktide.simulation.model import scenario as scenarios
 from locktide.simulation.model.scenario import Scenario
 from locktide.simulation.run import in_virtual_time
 
-QUIET = """
+QUIET_SCENARIO = """
 name = "broken"
 length = 8.0
 incident = []
@@ -65,12 +64,12 @@
 """
 
 
-class Plain:
-    """Sends each submission to the ready workers in turn, and keeps the rules where nothing goes wrong."""
+class RoundRobinScheduler:
+    """Sends requests to the ready workers in turn; it keeps the rules as long as nothing fails."""
 
     def __init__(self, seed: int, config: SchedulerConfig) -> None:
         self.workers: dict[str, EndpointEntry] = {}
-        self.kept: dict[RequestId, RequestArrived] = {}
+        self.requests: dict[RequestId, RequestArrived] = {}
         self.turns = 0
 
     def ready(self) -> list[str]:
@@ -78,111 +77,115 @@
 
     def next(self) -> str:
         self.turns += 1
-        able = self.ready()
-        return able[self.turns % len(able)]
-
-    def step(self, now: int, news: list[Any]) -> list[Any]:
-        orders: list[Any] = []
-        for piece in news:
-            if type(piece) is EndpointListUpdate:
-                self.workers |= {entry.worker: entry for entry in piece.entries}
-            elif type(piece) is RequestArrived:
-                self.kept[piece.request_id] = piece
-                orders += self.arrived(now, piece)
-            elif type(piece) is AttemptEnded and not piece.final:
-                orders += self.ended(now, piece)
-            elif type(piece) is TimerFired:
-                orders += self.due(now, piece.timer_id)
+        ready_workers = self.ready()
+        return ready_workers[self.turns % len(ready_workers)]
+
+    def step(self, now: int, events: list[Any]) -> list[Any]:
+        commands: list[Any] = []
+        for event in events:
+            if type(event) is EndpointListUpdate:
+                self.workers |= {entry.worker: entry for entry in event.entries}
+            elif type(event) is RequestArrived:
+                self.requests[event.request_id] = event
+                commands += self.arrived(now, event)
+            elif type(event) is AttemptEnded and not event.final:
+                commands += self.ended(now, event)
+            elif type(event) is TimerFired:
+                commands += self.due(now, event.timer_id)
             else:
-                orders += self.other(now, piece)
-        return orders
+                commands += self.other(now, event)
+        return commands
 
-    def arrived(self, now: int, piece: RequestArrived) -> list[Any]:
-        return [StartAttempt(piece.request_id, self.next())]
+    def arrived(self, now: int, event: RequestArrived) -> list[Any]:
+        return [StartAttempt(event.request_id, self.next())]
 
-    def ended(self, now: int, piece: AttemptEnded) -> list[Any]:
-        return [FailRequest(piece.request_id)]
+    def ended(self, now: int, event: AttemptEnded) -> list[Any]:
+        return [FailRequest(event.request_id)]
 
-    def due(self, now: int, mark: int) -> list[Any]:
+    def due(self, now: int, timer_id: int) -> list[Any]:
         return []
 
-    def other(self, now: int, piece: Any) -> list[Any]:
+    def other(self, now: int, event: Any) -> list[Any]:
         return []
 
 
-class Silent(Plain):
-    """Lost: holds every fifth for good. The node's own guard against that is taken away in the test."""
+class LosingScheduler(RoundRobinScheduler):
+    """Breaks "lost": never answers every fifth request. The test disables the dispatcher's own timeout."""
 
-    def arrived(self, now: int, piece: RequestArrived) -> list[Any]:
+    def arrived(self, now: int, event: RequestArrived) -> list[Any]:
         self.turns += 1
-        return [] if self.turns % 5 == 0 else super().arrived(now, piece)
+        return [] if self.turns % 5 == 0 else super().arrived(now, event)
 
 
-class Twice(Plain):
-    """Doubled: dispatches again after an error, whatever the grade."""
+class RetryingScheduler(RoundRobinScheduler):
+    """Breaks "doubled": starts another attempt after an error, for every service class."""
 
-    def ended(self, now: int, piece: AttemptEnded) -> list[Any]:
-        return [StartAttempt(piece.request_id, self.next())]
+    def ended(self, now: int, event: AttemptEnded) -> list[Any]:
+        return [StartAttempt(event.request_id, self.next())]
 
 
-class DeniesWhatRan(Plain):
-    def ended(self, now: int, piece: AttemptEnded) -> list[Any]:
-        return [RejectRequest(piece.request_id, 0)]
+class RejectingScheduler(RoundRobinScheduler):
+    def ended(self, now: int, event: AttemptEnded) -> list[Any]:
+        return [RejectRequest(event.request_id, 0)]
 
 
-class Copies(Plain):
-    """Two dispatches at once, of what may be repeated."""
+class HedgingScheduler(RoundRobinScheduler):
+    """Breaks "copies": starts two attempts at once of requests that may be executed again."""
 
-    def arrived(self, now: int, piece: RequestArrived) -> list[Any]:
-        first = super().arrived(now, piece)
-        return first + super().arrived(now, piece) if piece.service_class == "view" else first
+    def arrived(self, now: int, event: RequestArrived) -> list[Any]:
+        first = super().arrived(now, event)
+        return first + super().arrived(now, event) if event.service_class == "view" else first
 
 
-class Deaf(Plain):
-    """Drains: goes on sending to whom it was told has left; the node's own guard is taken away too."""
+class DrainIgnoringScheduler(RoundRobinScheduler):
+    """Breaks "drain": sends to workers that have left; the test disables the dispatcher's own check."""
 
     def ready(self) -> list[str]:
         return list(self.workers)
 
 
-class Pushes(Plain):
-    """Pushed: gives all it has to the worker that started last."""
+class OverloadingScheduler(RoundRobinScheduler):
+    """Breaks "pushed": sends all requests to the worker that started last."""
 
     def next(self) -> str:
         return max(self.ready(), key=lambda name: self.workers[name].started_at)
 
 
-class AfterAll(Plain):
-    """After: sends once more a second after the answer."""
+class LateSendingScheduler(RoundRobinScheduler):
+    """Breaks "after": starts an attempt 0.3 s after the response."""
 
-    def arrived(self, now: int, piece: RequestArrived) -> list[Any]:
+    def arrived(self, now: int, event: RequestArrived) -> list[Any]:
         self.turns += 1
-        mark = len(self.kept)
-        self.marks = getattr(self, "marks", {}) | {mark: piece.request_id}
-        return [RejectRequest(piece.request_id, 0), SetTimer(300_000, mark)]
+        timer_id = len(self.requests)
+        self.marks = getattr(self, "marks", {}) | {timer_id: event.request_id}
+        return [RejectRequest(event.request_id, 0), SetTimer(300_000, timer_id)]
 
-    def due(self, now: int, mark: int) -> list[Any]:
-        return [StartAttempt(self.marks[mark], self.next())]
+    def due(self, now: int, timer_id: int) -> list[Any]:
+        return [StartAttempt(self.marks[timer_id], self.next())]
 
 
-def play(monkeypatch: pytest.MonkeyPatch, decisions: type[Plain] | None, more: str = "") -> dict[str, Any]:
-    if decisions is not None:
-        monkeypatch.setattr(node_module, "Scheduler", decisions)
-    chosen = script.parse(more + QUIET if not more.startswith("[[") else QUIET + more)
-    return in_virtual_time(chosen).outcome
+def run_with(
+    monkeypatch: pytest.MonkeyPatch, scheduler_type: type[RoundRobinScheduler] | None, extra: str = ""
+) -> dict[str, Any]:
+    if scheduler_type is not None:
+        monkeypatch.setattr(dispatcher_module, "Scheduler", scheduler_type)
+    scenario = scenarios.parse(
+        extra + QUIET_SCENARIO if not extra.startswith("[[") else QUIET_SCENARIO + extra
+    )
+    return in_virtual_time(scenario).outcome
 
 
-def broken(told: dict[str, Any]) -> set[str]:
-    return {rule for rule, count in told["rules"].items() if count}
+def broken_rules(result: dict[str, Any]) -> set[str]:
+    return {rule for rule, count in result["rules"].items() if count}
 
 
-def test_plain_decisions_break_nothing_where_nothing_goes_wrong(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = play(monkeypatch, Plain)
-    assert not broken(told) and told["service"] > 0.5 and told["jobs"] > 100
+def test_round_robin_scheduler_violates_no_rule_without_faults(monkeypatch: pytest.MonkeyPatch) -> None:
+    result = run_with(monkeypatch, RoundRobinScheduler)
+    assert not broken_rules(result) and result["service"] > 0.5 and result["jobs"] > 100
 
 
-# A worker that drains for long, as it is slow to finish what it has.
-LINGERS = """
+# A worker that drains for a long time, as it is slow to finish its jobs.
+SLOW_DRAIN = """
 [[incident]]
 at = 0.5
 for = 20.0
@@ -197,130 +200,130 @@
 """
 
 
-def errors(text: str) -> str:
+def with_errors(text: str) -> str:
     return text.replace("error_rate = 0.0", "error_rate = 0.3")
 
 
 @pytest.mark.parametrize(
-    ("decisions", "change", "incident", "rules"),
+    ("scheduler_type", "change", "fault", "rules"),
     [
-        (Silent, None, "", {"lost"}),
-        (Twice, errors, "", {"doubled"}),
-        (DeniesWhatRan, errors, "", {"doubled"}),
-        (Copies, None, "", {"copies"}),
-        (Deaf, None, LINGERS, {"drain"}),
+        (LosingScheduler, None, "", {"lost"}),
+        (RetryingScheduler, with_errors, "", {"doubled"}),
+        (RejectingScheduler, with_errors, "", {"doubled"}),
+        (HedgingScheduler, None, "", {"copies"}),
+        (DrainIgnoringScheduler, None, SLOW_DRAIN, {"drain"}),
         (
-            Pushes,
+            OverloadingScheduler,
             None,
             '[[incident]]\nat = 1.0\nfor = 1.0\nwhat = "kill"\nwhom = "w1"\nspread = 0.0\n',
             {"pushed"},
         ),
-        (Plain, None, "", set()),
+        (RoundRobinScheduler, None, "", set()),
     ],
 )
 def test_the_checker_catches_the_rule_that_is_broken_and_no_other(
     monkeypatch: pytest.MonkeyPatch,
-    decisions: type[Plain],
+    scheduler_type: type[RoundRobinScheduler],
     change: Callable[[str], str] | None,
-    incident: str,
+    fault: str,
     rules: set[str],
 ) -> None:
-    monkeypatch.setattr(node_module, "Scheduler", decisions)
-    if decisions is Silent:
+    monkeypatch.setattr(dispatcher_module, "Scheduler", scheduler_type)
+    if scheduler_type is LosingScheduler:
         monkeypatch.setattr(RequestTimeouts, "fail_overdue", lambda self, request: None)
-    if decisions is Deaf:
+    if scheduler_type is DrainIgnoringScheduler:
         monkeypatch.setattr(
             endpoint_directory.EndpointDirectory, "accepts_requests", lambda self, worker: True
         )
-    text = (change or str)(QUIET) + incident
-    text = text.replace("incident = []\n", "" if incident else "incident = []\n")
-    quick = "[roster]\nnotice = 0.2\nadd = 0.2\n[worker]\ncold_from = 0.1\nqueue = 99"
-    text = text.replace("[worker]", quick)
-    told = in_virtual_time(script.parse(text)).outcome
-    assert broken(told) == rules, told["broken"][:5]
+    text = (change or str)(QUIET_SCENARIO) + fault
+    text = text.replace("incident = []\n", "" if fault else "incident = []\n")
+    fast_settings = "[roster]\nnotice = 0.2\nadd = 0.2\n[worker]\ncold_from = 0.1\nqueue = 99"
+    text = text.replace("[worker]", fast_settings)
+    result = in_virtual_time(scenarios.parse(text)).outcome
+    assert broken_rules(result) == rules, result["broken"][:5]
 
 
-def test_nothing_may_be_sent_after_the_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The node itself refuses such an order; without that the checker must see it."""
+def test_an_attempt_after_the_response_is_a_violation(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The dispatcher itself rejects such a command; with that check disabled the checker must find it."""
     release_settled = RequestRegistry.release_settled
 
-    def forgetful(self: Any, held: Any) -> None:
-        if held.attempts:
-            release_settled(self, held)
+    def release_answered(self: Any, open_request: Any) -> None:
+        if open_request.attempts:
+            release_settled(self, open_request)
 
-    monkeypatch.setattr(RequestRegistry, "release_settled", forgetful)
+    monkeypatch.setattr(RequestRegistry, "release_settled", release_answered)
     monkeypatch.setattr(
         records.OpenRequest,
         "is_open",
-        property(lambda self: not self.attempts or not all(shot.outcome for shot in self.attempts)),
+        property(lambda self: not self.attempts or not all(attempt.outcome for attempt in self.attempts)),
     )
-    answer = RequestRegistry.respond
+    respond = RequestRegistry.respond
 
-    def once(self: Any, submission: str, given: Any) -> None:
-        held = self.open_requests.get(submission)
-        if held is not None and not held.response.done():
-            answer(self, submission, given)
+    def respond_once(self: Any, submission: str, response: Any) -> None:
+        open_request = self.open_requests.get(submission)
+        if open_request is not None and not open_request.response.done():
+            respond(self, submission, response)
 
-    monkeypatch.setattr(RequestRegistry, "respond", once)
-    assert "after" in broken(play(monkeypatch, AfterAll))
+    monkeypatch.setattr(RequestRegistry, "respond", respond_once)
+    assert "after" in broken_rules(run_with(monkeypatch, LateSendingScheduler))
 
 
-def test_a_late_answer_and_one_that_no_worker_made_are_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    answer = RequestRegistry.respond
+def test_a_late_response_and_a_forged_one_are_violations(monkeypatch: pytest.MonkeyPatch) -> None:
+    respond = RequestRegistry.respond
 
-    def late(self: Any, submission: str, given: Any) -> None:
-        held = self.open_requests[submission]
-        loop, deadline = asyncio.get_running_loop(), held.timer.when()
-        loop.call_at(deadline + 0.3, answer, self, submission, given)
+    def respond_late(self: Any, submission: str, response: Any) -> None:
+        open_request = self.open_requests[submission]
+        loop, deadline = asyncio.get_running_loop(), open_request.timer.when()
+        loop.call_at(deadline + 0.3, respond, self, submission, response)
 
-    monkeypatch.setattr(RequestRegistry, "respond", late)
-    monkeypatch.setattr(RequestTimeouts, "time_out", lambda self, held: None)
-    told = play(monkeypatch, Plain)
-    assert broken(told) == {"late"} and set(told["answers"]) == {"late"}
+    monkeypatch.setattr(RequestRegistry, "respond", respond_late)
+    monkeypatch.setattr(RequestTimeouts, "time_out", lambda self, open_request: None)
+    result = run_with(monkeypatch, RoundRobinScheduler)
+    assert broken_rules(result) == {"late"} and set(result["answers"]) == {"late"}
 
-    def forged(self: Any, submission: str, given: Any) -> None:
-        given.body = b"made up"
-        answer(self, submission, given)
+    def respond_forged(self: Any, submission: str, response: Any) -> None:
+        response.body = b"made up"
+        respond(self, submission, response)
 
-    monkeypatch.setattr(RequestRegistry, "respond", forged)
-    assert broken(play(monkeypatch, Plain)) == {"forged"}
+    monkeypatch.setattr(RequestRegistry, "respond", respond_forged)
+    assert broken_rules(run_with(monkeypatch, RoundRobinScheduler)) == {"forged"}
 
 
-def test_what_a_killed_dispatcher_held_is_its_clients_to_retry_and_blamed_on_nobody() -> None:
-    text = QUIET.replace("incident = []\n", "").replace("retries = 0.0", "retries = 2.0")
+def test_requests_of_a_killed_dispatcher_are_retried_by_clients_and_are_no_violation() -> None:
+    text = QUIET_SCENARIO.replace("incident = []\n", "").replace("retries = 0.0", "retries = 2.0")
     text += '[[incident]]\nat = 3.0\nfor = 1.0\nwhat = "kill-dispatcher"\nwhom = "d0"\n'
-    told = in_virtual_time(script.parse(text)).outcome
-    assert not broken(told) and told["answers"]["broken off"] > 0
-    assert told["answers"]["no dispatcher"] > 0  # until the front has noticed
+    result = in_virtual_time(scenarios.parse(text)).outcome
+    assert not broken_rules(result) and result["answers"]["broken off"] > 0
+    assert result["answers"]["no dispatcher"] > 0  # until the load balancer has noticed the crash
 
 
 @pytest.mark.parametrize("point", ["before-202", "after-202", "before-started", "before-done"])
-def test_a_worker_killed_at_the_worst_moment_breaks_nothing(point: str) -> None:
-    text = QUIET.replace("incident = []\n", "")
+def test_a_worker_killed_at_any_crash_point_causes_no_violation(point: str) -> None:
+    text = QUIET_SCENARIO.replace("incident = []\n", "")
     for number in range(4):
         text += f'[[incident]]\nat = {1 + number}.0\nfor = 1.0\nwhat = "trap"\nwhom = "w{number}"\n'
         text += f'point = "{point}"\n'
-    told = in_virtual_time(script.parse(text)).outcome
-    assert not broken(told) and told["service"] > 0.5
-    assert any(one["up"] < 4 for one in told["over_time"])  # it did die
+    result = in_virtual_time(scenarios.parse(text)).outcome
+    assert not broken_rules(result) and result["service"] > 0.5
+    assert any(sample["up"] < 4 for sample in result["over_time"])  # it did crash
 
 
 def test_callbacks_before_the_202_and_twice_change_nothing() -> None:
-    text = QUIET.replace("early = 0.0", "early = 1.0\ntwice = 1.0")
-    told = in_virtual_time(script.parse(text)).outcome
-    assert not broken(told) and set(told["answers"]) <= {"done", "denied"}
-    assert told["service"] > 0.9
+    text = QUIET_SCENARIO.replace("early = 0.0", "early = 1.0\ntwice = 1.0")
+    result = in_virtual_time(scenarios.parse(text)).outcome
+    assert not broken_rules(result) and set(result["answers"]) <= {"done", "denied"}
+    assert result["service"] > 0.9
 
 
-def test_the_settings_given_to_dispatchers_are_those_of_the_script() -> None:
-    settings = told_module.settings(
-        Scenario(dispatcher=script.DispatcherSpec(settings={"Rules": {"Cold": 1.0}}))
+def test_the_settings_given_to_dispatchers_are_those_of_the_scenario() -> None:
+    settings = rendered_config.settings(
+        Scenario(dispatcher=scenarios.DispatcherSpec(settings={"Rules": {"Cold": 1.0}}))
     )
     assert settings["Rules"]["Cold"] == 1.0 and settings["Rules"]["OverloadFactor"] == 4.0
     assert [grade["Semantics"] for grade in settings["ServiceGrades"]] == ["free", "guarded", "guarded"]
 
 
 def test_service_of_windows_and_of_the_worst_ten_seconds() -> None:
-    told = in_virtual_time(script.parse(QUIET)).outcome
-    assert len(told["windows_5s"]) == 2 and outcome.worst_window_service([], 8.0) is None
-    assert told["worst_10s"] == told["service"]  # a day shorter than that is its own worst
+    result = in_virtual_time(scenarios.parse(QUIET_SCENARIO)).outcome
+    assert len(result["windows_5s"]) == 2 and outcome.worst_window_service([], 8.0) is None
+    assert result["worst_10s"] == result["service"]  # a shorter run is one window
--- a/tests/simulation/test_latency.py
+++ b/tests/simulation/test_latency.py
@@ -24,10 +24,10 @@
     def links(self) -> FallingDelays:
         return self
 
-    def cut(self, one: Machine, other: Machine) -> bool:
+    def cut(self, source: Machine, target: Machine) -> bool:
         return False
 
-    def delay(self, one: Machine, other: Machine) -> int:
+    def delay(self, source: Machine, target: Machine) -> int:
         self.delay_left = max(1_000, self.delay_left - 5_000)
         return self.delay_left
 
@@ -42,9 +42,9 @@
     async def run() -> list[int]:
         arrived: list[int] = []
         links = FallingDelays()
-        way = DelayedDirection(links, Machine(CLIENT, 0, 0), Machine(DISPATCHER, 0, 0))  # type: ignore[arg-type]
+        direction = DelayedDirection(links, Machine(CLIENT, 0, 0), Machine(DISPATCHER, 0, 0))  # type: ignore[arg-type]
         for number in range(PIECES):
-            way.push(arrived.append, number)
+            direction.push(arrived.append, number)
         await until(lambda: len(arrived) == PIECES)
         return arrived
 
--- a/tests/simulation/test_virtual_time.py
+++ b/tests/simulation/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""The virtual loop and its network."""
+"""The virtual event loop and its network."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from locktide.transport.kernel_queue import time_since_data
 
 
-class Wires:
-    """One delay for all, cut or whole as the test says."""
+class Links:
+    """A link model with one delay for all links, which the test can cut."""
 
     def __init__(self, delay: int = 1000) -> None:
-        self.span, self.is_cut, self.at = delay, False, 0
+        self.delay_us, self.is_cut, self.split_at = delay, False, 0
 
     def delay(self, source: str, target: str) -> int:
-        return self.span
+        return self.delay_us
 
     def split(self, size: int) -> int:
-        return self.at if self.at < size else 0
+        return self.split_at if self.split_at < size else 0
 
     def cut(self, source: str, target: str) -> bool:
         return self.is_cut
@@ -32,8 +32,8 @@
 class Bench:
     def __init__(self) -> None:
         self.loop = VirtualLoop()  # type: ignore[abstract]
-        self.wires = Wires()
-        self.net = VirtualNetwork(self.loop, self.wires)
+        self.links = Links()
+        self.net = VirtualNetwork(self.loop, self.links)
 
     def run(self, work: Any) -> Any:
         return self.loop.run_until_complete(work)
@@ -44,35 +44,37 @@
     return Bench()
 
 
-class Taking(asyncio.Protocol):
-    def __init__(self, got: list[Any], loop: VirtualLoop) -> None:
-        self.got, self.loop = got, loop
+class RecordingProtocol(asyncio.Protocol):
+    def __init__(self, received: list[Any], loop: VirtualLoop) -> None:
+        self.received, self.loop = received, loop
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.got.append((round(self.loop.time(), 6), data))
+        self.received.append((round(self.loop.time(), 6), data))
 
-    def connection_lost(self, trouble: Exception | None) -> None:
-        self.got.append((round(self.loop.time(), 6), type(trouble).__name__))
+    def connection_lost(self, error: Exception | None) -> None:
+        self.received.append((round(self.loop.time(), 6), type(error).__name__))
 
 
 def test_time_passes_only_when_nothing_is_left_to_do(bench: Bench) -> None:
     order: list[str] = []
 
-    async def one(name: str, span: float) -> None:
+    async def sleep_and_record(name: str, span: float) -> None:
         await asyncio.sleep(span)
         order.append(f"{name} {bench.loop.time():.3f}")
 
-    async def all_of_them() -> None:
-        await asyncio.gather(one("late", 3600.0), one("first", 1.0), one("second", 1.0))
+    async def sleep_all() -> None:
+        await asyncio.gather(
+            sleep_and_record("late", 3600.0), sleep_and_record("first", 1.0), sleep_and_record("second", 1.0)
+        )
 
-    bench.run(all_of_them())
+    bench.run(sleep_all())
     assert order == ["first 1.000", "second 1.000", "late 3600.000"]
 
 
-def test_what_can_never_come_is_said(bench: Bench) -> None:
+def test_a_deadlock_is_reported(bench: Bench) -> None:
     async def wait_for_ever() -> None:
         await bench.loop.create_future()
 
@@ -81,59 +83,59 @@
 
 
 def test_bytes_come_in_order_after_their_delay_also_in_pieces(bench: Bench) -> None:
-    got: list[Any] = []
-    bench.wires.at = 2
+    received: list[Any] = []
+    bench.links.split_at = 2
 
-    async def talk() -> None:
-        bench.net.listen(lambda: Taking(got, bench.loop), "b", 1)
+    async def exchange() -> None:
+        bench.net.listen(lambda: RecordingProtocol(received, bench.loop), "b", 1)
         _, writer = await asyncio.open_connection("b", 1, local_addr=("a", 0))
-        assert bench.loop.time() == pytest.approx(0.002)  # there and back
+        assert bench.loop.time() == pytest.approx(0.002)  # one round trip
         writer.write(b"hello")
-        bench.wires.span = 10  # faster later: the order holds all the same
+        bench.links.delay_us = 10  # a shorter delay from now on does not change the order
         writer.write(b"x")
         await asyncio.sleep(1)
         writer.close()
         await asyncio.sleep(1)
 
-    bench.run(talk())
-    assert b"".join(data for _, data in got[:-1]) == b"hellox" and got[0] == (0.003, b"he")
-    assert got[-1][1] == "NoneType" and bench.net.split == 1
+    bench.run(exchange())
+    assert b"".join(data for _, data in received[:-1]) == b"hellox" and received[0] == (0.003, b"he")
+    assert received[-1][1] == "NoneType" and bench.net.split_count == 1
 
 
-def test_a_connection_to_nobody_is_refused_and_over_a_cut_link_never_comes_up(bench: Bench) -> None:
-    async def talk() -> None:
+def test_a_connection_without_listener_is_refused_and_over_a_cut_link_never_established(bench: Bench) -> None:
+    async def exchange() -> None:
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("b", 1, local_addr=("a", 0))
-        bench.net.listen(lambda: Taking([], bench.loop), "b", 1)
-        bench.wires.is_cut = True
+        bench.net.listen(lambda: RecordingProtocol([], bench.loop), "b", 1)
+        bench.links.is_cut = True
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(asyncio.open_connection("b", 1, local_addr=("a", 0)), 5.0)
 
-    bench.run(talk())
+    bench.run(exchange())
 
 
 def test_what_is_sent_over_a_cut_link_comes_once_it_is_whole(bench: Bench) -> None:
-    got: list[Any] = []
+    received: list[Any] = []
 
-    async def talk() -> None:
-        bench.net.listen(lambda: Taking(got, bench.loop), "b", 1)
+    async def exchange() -> None:
+        bench.net.listen(lambda: RecordingProtocol(received, bench.loop), "b", 1)
         _, writer = await asyncio.open_connection("b", 1, local_addr=("a", 0))
-        bench.wires.is_cut = True
+        bench.links.is_cut = True
         writer.write(b"one")
         writer.write(b"two")
         await asyncio.sleep(60)
-        assert not got
-        bench.wires.is_cut = False
+        assert not received
+        bench.links.is_cut = False
         bench.net.links_restored()
         await asyncio.sleep(1)
 
-    bench.run(talk())
-    assert [data for _, data in got] == [b"one", b"two"]
+    bench.run(exchange())
+    assert [data for _, data in received] == [b"one", b"two"]
 
 
 def test_a_killed_process_runs_no_further_and_its_connections_are_reset(bench: Bench) -> None:
-    got: list[Any] = []
-    ran: list[str] = []
+    received: list[Any] = []
+    clean_ups: list[str] = []
     process = VirtualProcess("p", "a")
 
     async def victim() -> None:
@@ -143,141 +145,147 @@
                 writer.write(b".")
                 await asyncio.sleep(0.01)
         finally:
-            ran.append("cleaned up")
+            clean_ups.append("cleaned up")
 
-    async def talk() -> None:
-        bench.net.listen(lambda: Taking(got, bench.loop), "b", 1)
+    async def exchange() -> None:
+        bench.net.listen(lambda: RecordingProtocol(received, bench.loop), "b", 1)
         bench.loop.create_task(victim(), context=process.context())
         await asyncio.sleep(0.0555)
         bench.net.kill(process)
         await asyncio.sleep(1)
-        assert got[-1][1] == "ConnectionResetError" and not ran
-        count = len(got)
+        assert received[-1][1] == "ConnectionResetError" and not clean_ups
+        count = len(received)
         await asyncio.sleep(1)
-        assert len(got) == count
+        assert len(received) == count
         await process.clear_away()
 
-    bench.run(talk())
-    assert got[-1][0] == pytest.approx(0.0565)  # the reset takes as long as bytes do
-    assert ran == ["cleaned up"] and not bench.net.ends
+    bench.run(exchange())
+    assert received[-1][0] == pytest.approx(0.0565)  # the reset takes as long as bytes do
+    assert clean_ups == ["cleaned up"] and not bench.net.ends
 
 
-def test_writing_to_who_has_gone_away_brings_a_reset(bench: Bench) -> None:
-    got: list[Any] = []
+def test_writing_to_a_closed_connection_brings_a_reset(bench: Bench) -> None:
+    received: list[Any] = []
 
-    async def talk() -> None:
-        server = Taking([], bench.loop)
+    async def exchange() -> None:
+        server = RecordingProtocol([], bench.loop)
         bench.net.listen(lambda: server, "b", 1)
         transport, _ = await bench.loop.create_connection(
-            lambda: Taking(got, bench.loop), "b", 1, local_addr=("a", 0)
+            lambda: RecordingProtocol(received, bench.loop), "b", 1, local_addr=("a", 0)
         )
-        await asyncio.sleep(0.002)  # the last leg of the handshake has come
+        await asyncio.sleep(0.002)  # the last part of the handshake has arrived
         server.transport.close()
         transport.write(b"too late")
         await asyncio.sleep(1)
 
-    bench.run(talk())
-    assert got
+    bench.run(exchange())
+    assert received
 
 
 def test_listener_sees_a_connection_after_three_legs_and_the_first_bytes_right_behind(bench: Bench) -> None:
-    """The stand-in handed a connection to its listener with the first leg of the handshake.
+    """The virtual network passed a connection to its listener with the first part of the handshake.
 
-    Between that and the first bytes were two trips in which no kernel shows a connection to anyone, and
-    dispatchers closed such connections for others. It must come with the third leg, and bytes that are
-    written at once must come with it.
+    The first bytes came two trips later. A real kernel shows no connection in that time; dispatchers closed
+    such connections to make room for others. The connection must arrive with the third part of the handshake,
+    and so must bytes that are written at once.
     """
-    came: list[Any] = []
+    events: list[Any] = []
 
-    class Server(Taking):
+    class Server(RecordingProtocol):
         def connection_made(self, transport: Any) -> None:
-            came.append(("open", round(bench.loop.time(), 6)))
+            events.append(("open", round(bench.loop.time(), 6)))
 
         def data_received(self, data: bytes) -> None:
-            came.append((data, round(bench.loop.time(), 6)))
+            events.append((data, round(bench.loop.time(), 6)))
 
-    async def talk() -> None:
+    async def exchange() -> None:
         bench.net.listen(lambda: Server([], bench.loop), "b", 1)
         _, writer = await asyncio.open_connection("b", 1, local_addr=("a", 0))
         assert bench.loop.time() == pytest.approx(0.002)
         writer.write(b"at once")
         await asyncio.sleep(1)
 
-    bench.run(talk())
-    assert came == [("open", 0.003), (b"at once", 0.003)]
+    bench.run(exchange())
+    assert events == [("open", 0.003), (b"at once", 0.003)]
 
 
 def test_socket_says_how_long_ago_data_came_read_or_not(bench: Bench) -> None:
-    """A dispatcher asks Linux how long a request lay unread, and takes that off the client's time.
+    """A dispatcher asks Linux how long a request was unread, and deducts that from the client's time.
 
-    In virtual time nothing answered, so what it does then was never played. Before any data the time counts
+    The virtual socket did not answer, so that code never ran in virtual time. Before any data the time counts
     from the handshake, as on Linux.
     """
     ages: list[int] = []
 
-    async def talk() -> None:
+    async def exchange() -> None:
         listening = bench.net.socket(("b", 1), 8)
         _, writer = await asyncio.open_connection("b", 1, local_addr=("a", 0))
         await asyncio.sleep(0.201)
         accepted, _ = await bench.loop.sock_accept(listening)
-        ages.append(time_since_data(accepted.end.get_extra_info("socket")))
+        ages.append(time_since_data(accepted.transport.get_extra_info("socket")))
         writer.write(b"unread")
         await asyncio.sleep(0.301)
-        ages.append(time_since_data(accepted.end.get_extra_info("socket")))
+        ages.append(time_since_data(accepted.transport.get_extra_info("socket")))
 
-    bench.run(talk())
+    bench.run(exchange())
     assert ages == pytest.approx([200_000, 300_000], abs=1_000)
 
 
 @pytest.mark.parametrize("close", ["listener", "process"])
 def test_handshake_that_crosses_the_end_of_its_listener_brings_a_reset(bench: Bench, close: str) -> None:
-    """A listener closes, or its process dies, between the first and the third leg of a handshake.
+    """A listener closes, or its process is killed, between the first and third part of a handshake.
 
-    The client believes that it is connected. It must be told by a reset, or it waits for ever.
+    The client takes itself for connected, and without a reset it would wait forever.
     """
-    got: list[Any] = []
+    received: list[Any] = []
     process = VirtualProcess("p", "b")
 
-    async def talk() -> None:
+    async def exchange() -> None:
         async def listen() -> Any:
-            return bench.net.listen(lambda: Taking([], bench.loop), "b", 1)
+            return bench.net.listen(lambda: RecordingProtocol([], bench.loop), "b", 1)
 
         listener = await bench.loop.create_task(listen(), context=process.context())
         bench.loop.call_at(0.0015, listener.close if close == "listener" else lambda: bench.net.kill(process))
-        await bench.loop.create_connection(lambda: Taking(got, bench.loop), "b", 1, local_addr=("a", 0))
+        await bench.loop.create_connection(
+            lambda: RecordingProtocol(received, bench.loop), "b", 1, local_addr=("a", 0)
+        )
         await asyncio.sleep(1)
 
-    bench.run(talk())
-    assert got == [(0.004, "ConnectionResetError")] and not bench.net.ends
+    bench.run(exchange())
+    assert received == [(0.004, "ConnectionResetError")] and not bench.net.ends
 
 
 def test_accepted_sockets_and_paused_readers_keep_what_comes(bench: Bench) -> None:
-    async def talk() -> None:
+    async def exchange() -> None:
         listening = bench.net.socket(("b", 1), 8)
         _, writer = await asyncio.open_connection("b", 1, local_addr=("a", 0))
         writer.write(b"early")
-        await asyncio.sleep(1)  # nobody has accepted it yet
+        await asyncio.sleep(1)  # not accepted yet
         accepted, peer = await bench.loop.sock_accept(listening)
         assert peer[0] == "a"
-        got: list[Any] = []
-        transport, _ = await bench.loop.connect_accepted_socket(lambda: Taking(got, bench.loop), accepted)
+        received: list[Any] = []
+        transport, _ = await bench.loop.connect_accepted_socket(
+            lambda: RecordingProtocol(received, bench.loop), accepted
+        )
         await asyncio.sleep(0.1)
-        assert [data for _, data in got] == [b"early"]
+        assert [data for _, data in received] == [b"early"]
         transport.pause_reading()
         writer.write(b"later")
         await asyncio.sleep(1)
-        assert len(got) == 1
+        assert len(received) == 1
         transport.resume_reading()
         await asyncio.sleep(0.1)
-        assert got[-1][1] == b"later"
+        assert received[-1][1] == b"later"
 
-    bench.run(talk())
+    bench.run(exchange())
 
 
-def test_what_breaks_off_unseen_is_kept(bench: Bench) -> None:
-    async def break_off() -> None:
+def test_an_unhandled_exception_is_recorded(bench: Bench) -> None:
+    async def fail() -> None:
         bench.loop.call_soon(lambda: 1 / 0)
         await asyncio.sleep(1)
 
-    bench.run(break_off())
-    assert [type(one["exception"]) for one in bench.loop.trouble] == [ZeroDivisionError]
+    bench.run(fail())
+    assert [type(sleep_and_record["exception"]) for sleep_and_record in bench.loop.unhandled] == [
+        ZeroDivisionError
+    ]
--- a/tests/soak/virtual.py
+++ b/tests/soak/virtual.py
@@ -52,7 +52,7 @@
         stage.close()
         loop.run_until_complete(host.clear_away())
         loop.run_until_complete(asyncio.sleep(1.0))
-        for each in loop.trouble:
+        for each in loop.unhandled:
             findings.add(f"trouble: {each.get('exception') or each['message']}")
         host.drop()
     finally:
