--- a/tests/dispatcher/test_cancellation.py
+++ b/tests/dispatcher/test_cancellation.py
@@ -313,7 +313,7 @@
     If silence ended an attempt, its retry would run beside it. No rule may be violated in the whole run, and
     all workers must be up at its end.
     """
-    report = in_virtual_time(with_seed(script.load(ZONE_LOST), seed)).told
+    report = in_virtual_time(with_seed(script.load(ZONE_LOST), seed)).outcome
     assert not any(report["rules"].values()), report["broken"][:3]
     assert min(sample["up"] for sample in report["over_time"]) == 6 and report["over_time"][-1]["up"] == 12
 
@@ -329,4 +329,4 @@
         return True
 
     monkeypatch.setattr(CancellationDelivery, "deliver", claim_delivery)
-    assert in_virtual_time(script.load(ZONE_LOST)).told["rules"]["copies"] > 0
+    assert in_virtual_time(script.load(ZONE_LOST)).outcome["rules"]["copies"] > 0
--- a/tests/dispatcher/test_many_dispatchers.py
+++ b/tests/dispatcher/test_many_dispatchers.py
@@ -64,7 +64,7 @@
                     ),
                 )
     assert len(received_at) == 40 and max(received_at.values()) < 20_000_000
-    assert service.taken < 60, "the service gets more calls than needed"
+    assert service.call_count < 60, "the service gets more calls than needed"
 
 
 @pytest.mark.parametrize(("warm", "cold", "requests_each"), [(30, 30, 3), (0, 10, 20)])
@@ -315,8 +315,8 @@
         whom = "all"
     """)
     calls: list[int] = []
-    result = in_virtual_time(scenario, lambda site, now: calls.append(site.calls.taken))  # type: ignore
-    assert not any(result.told["rules"].values())
+    result = in_virtual_time(scenario, lambda site, now: calls.append(site.calls.call_count))  # type: ignore
+    assert not any(result.outcome["rules"].values())
     assert calls[-1] <= 30, "more calls than two starts of eight and a few rejected ones"
 
 
--- a/tests/soak/stage.py
+++ b/tests/soak/stage.py
@@ -325,7 +325,7 @@
 
     def time_left(self, submission: RequestTry, now: int) -> float:
         """Return the seconds left to the client; for a durable job, as nobody waits, its whole timeout."""
-        if submission.ask.grade.name in self.kept_grades:
+        if submission.ask.grade.name in self.durable_classes:
             return self.script.durable.limit
         return (self.sent_at[submission.id] + submission.ask.limit - now) / 1e6
 
@@ -439,7 +439,7 @@
         submission = self.tries.get(request_id)
         if rule != "late" or submission is None:
             return False
-        due_at = submission.limit_at + self.checker.terms.slack
+        due_at = submission.limit_at + self.checker.config.slack
         if request_id in self.hold_tracker.timed_out_late:
             return True
         return self.hold_tracker.covers(submission.dispatcher, due_at, answered_at)
@@ -461,7 +461,7 @@
                 findings.add(f"{request_id}: {text}", is_timing_dependent=True)
         findings.requests = len(self.asks)
         findings.answered = sum(1 for ask in self.asks if ask.answered_at)
-        for violation in self.checker.breaches:
+        for violation in self.checker.violations:
             is_undispatched_loss = self.was_lost_before_dispatch(violation.rule, violation.what)
             if is_undispatched_loss and self.soak_script.has_idle_clients:
                 findings.closed_unread += 1  # allowed for a new connection while descriptors are full
@@ -485,7 +485,7 @@
         if submission is None:
             return ""
         sent_at = self.sent_at.get(request_id, submission.sent_at) / 1e6
-        workers = [f"w{arrival.worker}" for arrival in self.checker.came.get(request_id, ())]
+        workers = [f"w{arrival.worker}" for arrival in self.checker.received.get(request_id, ())]
         shutdown = self.shutdowns.get(submission.dispatcher)
         shutdown_text = (
             f", its dispatcher was sent SIGTERM at {shutdown.began_at / 1e6:.3f}" if shutdown else ""
@@ -496,5 +496,5 @@
         """Return whether a connection ended without a response to a request that reached no worker."""
         request_id = description.partition(" ")[0]
         submission = self.tries.get(request_id)
-        never_sent = request_id not in self.checker.came
+        never_sent = request_id not in self.checker.received
         return rule == "lost" and never_sent and submission is not None and submission.ended == traffic.BROKEN
--- a/tests/soak/virtual.py
+++ b/tests/soak/virtual.py
@@ -48,11 +48,11 @@
     gc.disable()
     try:
         loop.run_until_complete(_run_script(runner, backend))
-        runner.collect_violations(backend.said)
+        runner.collect_violations(backend.log_lines)
         runner.close()
         loop.run_until_complete(backend.clear_away())
         loop.run_until_complete(asyncio.sleep(1.0))
-        for error_context in loop.trouble:
+        for error_context in loop.unhandled:
             findings.add(f"event loop error: {error_context.get('exception') or error_context['message']}")
         backend.drop()
     finally:
@@ -86,10 +86,10 @@
         await runner.check_ledgers_converge()
         runner.check_quotas(*backend.traced())
     await asyncio.sleep(QUIET_TIME)
-    for line in backend.said:
+    for line in backend.log_lines:
         if any(text in line for text in DEFECT_LOG_TEXTS):
             runner.findings.add(f"log: {line}")
-    runner.check_reloads(backend.said)
+    runner.check_reloads(backend.log_lines)
     for number, node in backend.nodes.items():
         if backend.dispatcher_runs(number):
             _check_released(runner, number, node)
