--- a/locktide/simulation/cluster/__init__.py
+++ b/locktide/simulation/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The accord under faults: many members in virtual time, or as processes on loopback, and who checks them."""
+"""The cluster protocol under faults: runs in virtual time and of real processes, model checking, checkers."""
--- a/locktide/simulation/cluster/cost.py
+++ b/locktide/simulation/cluster/cost.py
@@ -1,6 +1,7 @@
-"""What the accord costs one member in fleets of a size, and how long a death takes to be known by all.
+"""Measures the cost of the cluster to one member, by the size of the cluster, and how soon a death is known.
 
-Virtual time; the processor's time is that of the agents' own calls with packing, on this machine.
+The runs are in virtual time. The processor time is measured on this machine; it includes the encoding and
+decoding of messages.
 """
 
 from __future__ import annotations
@@ -18,92 +19,117 @@
 from locktide.simulation.cluster.virtual_cluster import VirtualCluster
 
 SECOND = 1_000_000
-WARM, LENGTH = 8, 10  # seconds
+#: Seconds until the cluster has settled, and seconds after that in which the cost is measured.
+WARM_UP_S, MEASURED_S = 8, 10
 
 
 @dataclass(frozen=True)
 class Cost:
+    """The cost of a cluster of one size.
+
+    Attributes:
+        members: how many members there are.
+        tenants: how many tenants have a quota.
+        datagrams: datagrams that a member sends a second, on average.
+        kilobytes: thousands of bytes that a member sends a second, on average.
+        largest: the size of the largest datagram, in bytes.
+        leader_kilobytes: thousands of bytes that the leader sends a second.
+        core: fraction of a core that a member uses, on average.
+        megabytes: the memory of one member, in millions of bytes.
+        known_after: seconds from a death until the last member knew of it; 0 if that took over a minute.
+        first_known_after: seconds from a death until the first member knew of it; 0 if over a minute.
+    """
+
     members: int
     tenants: int
-    datagrams: float  # a second and member, sent
-    kilobytes: float  # the same, in thousands of bytes
-    largest: int  # bytes of the largest datagram
-    leader_kilobytes: float  # of who divides
-    core: float  # part of a core, on average over the members
-    megabytes: float  # of one agent
-    known_after: float  # seconds from a death until the last has dropped it; 0 where that took too long
-    first_after: float  # until the first has
+    datagrams: float
+    kilobytes: float
+    largest: int
+    leader_kilobytes: float
+    core: float
+    megabytes: float
+    known_after: float
+    first_known_after: float
 
 
 def measure(members: int, tenants: int, seed: int = 1) -> Cost:
+    """Measure the cost of a cluster with that many members and tenants."""
     names = [f"d{number}" for number in range(members)]
-    budgets = tuple(QuotaSpec(f"t{number}", 100.0, 500.0, True) for number in range(tenants))
-    terms = FairnessConfig(
+    quotas = tuple(QuotaSpec(f"t{number}", 100.0, 500.0, True) for number in range(tenants))
+    fairness = FairnessConfig(
         ["slots", "memory"],
-        {budget.name: 1 for budget in budgets},
+        {quota.name: 1 for quota in quotas},
         {"plain": [1000, 200]},
         [3000, 8000],
         20 * SECOND,
     )
-    electors = min(5, members - 1 + members % 2)
-    world = VirtualCluster(seed, names, electors, members + 2, 0.5, budgets, lend=0.5, ledger=terms)
-    sent: dict[str, list[int]] = {name: [0, 0, 0] for name in names}
-    send, counting, spent = world.send, False, 0.0
+    acceptor_count = min(5, members - 1 + members % 2)
+    cluster = VirtualCluster(
+        seed, names, acceptor_count, members + 2, 0.5, quotas, lendable_fraction=0.5, fairness=fairness
+    )
+    totals_by_sender: dict[str, list[int]] = {name: [0, 0, 0] for name in names}
+    send, is_counting, cpu_time = cluster.send, False, 0.0
 
-    def counted(sender: object, address: tuple[str, int], datagram: bytes) -> None:
-        if counting:
-            row = sent[sender.name]  # type: ignore[attr-defined]
-            row[:] = row[0] + 1, row[1] + len(datagram), max(row[2], len(datagram))
+    def send_and_count(sender: object, address: tuple[str, int], datagram: bytes) -> None:
+        if is_counting:
+            totals = totals_by_sender[sender.name]  # type: ignore[attr-defined]
+            totals[:] = totals[0] + 1, totals[1] + len(datagram), max(totals[2], len(datagram))
         send(sender, address, datagram)  # type: ignore[arg-type]
 
-    world.send = counted  # type: ignore[method-assign]
-    for place, name in enumerate(names):
-        world.at(place * SECOND // members, world.begin, name)
-    world.run(WARM * SECOND)
-    counting, begun = True, time.process_time()
-    # Each member is asked for two submissions a second, of tenants in turn.
-    for step in range(2 * LENGTH):
-        for place, process in enumerate(world.all):
-            tenant = budgets[(step + place) % tenants].name
+    cluster.send = send_and_count  # type: ignore[method-assign]
+    for index, name in enumerate(names):
+        cluster.call_at(index * SECOND // members, cluster.start, name)
+    cluster.run(WARM_UP_S * SECOND)
+    is_counting, cpu_time_before = True, time.process_time()
+    # Each member gets two requests a second, of the tenants in turn.
+    for step in range(2 * MEASURED_S):
+        for index, process in enumerate(cluster.processes):
+            tenant = quotas[(step + index) % tenants].name
             process.spend(tenant)
-            assert process.agent.ledger is not None
-            holdings, job = process.agent.ledger.usage, f"j{step}"
-            holdings.observe(RequestArrived(job, "plain", 1 << 60, tenant=tenant))
-            holdings.observe(StartAttempt(job, "w0"))
-            holdings.observe(AttemptEnded(f"j{step - 2}", 0, AttemptOutcome.DONE, True))
-        world.run(world.now + SECOND // 2)
-    counting, spent = False, time.process_time() - begun
-    leader = next((one.name for one in world.all if one.agent.allocator is not None), "")
-    victim = next(one for one in reversed(world.all) if one.name != leader)
+            assert process.member.ledger is not None
+            usage, job = process.member.ledger.usage, f"j{step}"
+            usage.observe(RequestArrived(job, "plain", 1 << 60, tenant=tenant))
+            usage.observe(StartAttempt(job, "w0"))
+            usage.observe(AttemptEnded(f"j{step - 2}", 0, AttemptOutcome.DONE, True))
+        cluster.run(cluster.now + SECOND // 2)
+    is_counting, cpu_time = False, time.process_time() - cpu_time_before
+    leader = next(
+        (candidate.name for candidate in cluster.processes if candidate.member.allocator is not None), ""
+    )
+    victim = next(candidate for candidate in reversed(cluster.processes) if candidate.name != leader)
     victim.kill()
-    died, first, last = world.now, 0, 0
-    while world.now < died + 60 * SECOND and not last:
-        world.run(world.now + SECOND // 10)
-        know = [victim.name not in one.agent.swim.alive() for one in world.all if one.alive]
-        first = first or (world.now if any(know) else 0)
-        last = world.now if all(know) else 0
-    totals = list(sent.values())
+    died_at, first_known_at, all_known_at = cluster.now, 0, 0
+    while cluster.now < died_at + 60 * SECOND and not all_known_at:
+        cluster.run(cluster.now + SECOND // 10)
+        knows_death = [
+            victim.name not in candidate.member.swim.alive()
+            for candidate in cluster.processes
+            if candidate.alive
+        ]
+        first_known_at = first_known_at or (cluster.now if any(knows_death) else 0)
+        all_known_at = cluster.now if all(knows_death) else 0
+    all_totals = list(totals_by_sender.values())
     return Cost(
         members,
         tenants,
-        sum(row[0] for row in totals) / members / LENGTH,
-        sum(row[1] for row in totals) / members / LENGTH / 1000,
-        max(row[2] for row in totals),
-        sent[leader][1] / LENGTH / 1000 if leader else 0.0,
-        spent / members / LENGTH,
-        memory(world),
-        (last - died) / SECOND if last else 0.0,
-        (first - died) / SECOND if first else 0.0,
+        sum(totals[0] for totals in all_totals) / members / MEASURED_S,
+        sum(totals[1] for totals in all_totals) / members / MEASURED_S / 1000,
+        max(totals[2] for totals in all_totals),
+        totals_by_sender[leader][1] / MEASURED_S / 1000 if leader else 0.0,
+        cpu_time / members / MEASURED_S,
+        measure_memory(cluster),
+        (all_known_at - died_at) / SECOND if all_known_at else 0.0,
+        (first_known_at - died_at) / SECOND if first_known_at else 0.0,
     )
 
 
-def memory(world: VirtualCluster) -> float:
-    """Megabytes of one more agent that has heard of all the others."""
+def measure_memory(cluster: VirtualCluster) -> float:
+    """Return the memory of one more member that knows all the others, in millions of bytes."""
     tracemalloc.start()
     before = tracemalloc.take_snapshot()
-    agent: ClusterMember = world.make(world.all[0])
-    for row in world.all[0].agent.swim.view.table.records.values():
-        agent.swim.view.merge(row, world.all[0].clock(), "")
+    member: ClusterMember = cluster.make_member(cluster.processes[0])
+    for record in cluster.processes[0].member.swim.view.table.records.values():
+        member.swim.view.merge(record, cluster.processes[0].clock(), "")
     after = tracemalloc.take_snapshot()
     tracemalloc.stop()
     return sum(stat.size_diff for stat in after.compare_to(before, "filename")) / 1e6
--- a/locktide/simulation/cluster/datagram_relay.py
+++ b/locktide/simulation/cluster/datagram_relay.py
@@ -1,6 +1,6 @@
-"""A relay of ours between processes on loopback, which cuts, loses, delays, doubles and garbles at command.
+"""A relay between processes on loopback, which cuts, loses, delays, doubles and garbles their datagrams.
 
-Each process is reached by a port of the relay's; who sends is told by its own port.
+The relay opens a port for each process, to which the others send. It knows a sender by its port.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class RelayedPath(asyncio.DatagramProtocol):
-    """All that goes to one process."""
+    """The port of the relay for one process: forwards the datagrams that are sent to it."""
 
     transport: asyncio.DatagramTransport
 
@@ -25,21 +25,21 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
 
-    def datagram_received(self, data: bytes, source: Any) -> None:
-        net, random = self.relay.net, self.relay.random
-        sender = self.relay.senders.get(source, "")
-        self.relay.passed += 1
-        if (sender, self.name) in net.cut or random.random() < net.lose:
-            self.relay.lost += 1
+    def datagram_received(self, data: bytes, address: Any) -> None:
+        network, random = self.relay.network, self.relay.random
+        sender = self.relay.senders_by_address.get(address, "")
+        self.relay.received_count += 1
+        if (sender, self.name) in network.cut or random.random() < network.lose:
+            self.relay.lost_count += 1
             return
-        if random.random() < net.garble:
-            place = random.randrange(len(data))
-            data = data[:place] + bytes([data[place] ^ 1 << random.randrange(8)]) + data[place + 1 :]
-        if random.random() < net.truncate:
+        if random.random() < network.garble:
+            position = random.randrange(len(data))
+            data = data[:position] + bytes([data[position] ^ 1 << random.randrange(8)]) + data[position + 1 :]
+        if random.random() < network.truncate:
             data = data[: random.randrange(len(data))]
-        for _ in range(2 if random.random() < net.double else 1):
-            delay = random.randint(net.least, net.most) / 1e6
-            if random.random() < net.late:
+        for _ in range(2 if random.random() < network.double else 1):
+            delay = random.randint(network.min_delay, network.max_delay) / 1e6
+            if random.random() < network.late:
                 delay = random.random() * 2.0
             asyncio.get_running_loop().call_later(delay, self.send, data)
 
@@ -47,28 +47,39 @@
         if not self.transport.is_closing():
             self.transport.sendto(data, self.target)
 
-    def error_received(self, trouble: Exception) -> None:
-        pass  # nobody listens there just now
+    def error_received(self, error: Exception) -> None:
+        pass  # the process does not listen at present
 
 
 class DatagramRelay:
+    """The ports for all processes, with the faults of the network between them.
+
+    Attributes:
+        network: the faults of the network at present.
+        random: the source of random draws.
+        senders_by_address: the names of processes, by the address from which they send.
+        paths: the ports for the processes.
+        received_count: how many datagrams were sent to the relay.
+        lost_count: how many of them were lost or cut.
+    """
+
     def __init__(self, seed: int) -> None:
-        self.net, self.random = ClusterNetwork(), Random(seed)
-        self.senders: dict[Address, str] = {}
-        self.ways: list[RelayedPath] = []
-        self.passed = self.lost = 0
+        self.network, self.random = ClusterNetwork(), Random(seed)
+        self.senders_by_address: dict[Address, str] = {}
+        self.paths: list[RelayedPath] = []
+        self.received_count = self.lost_count = 0
 
-    async def way(self, name: str, target: Address) -> Address:
-        """Where that process is reached from now on."""
+    async def open_path(self, name: str, target: Address) -> Address:
+        """Open a port for the process that listens at `target`; return the address of the port."""
         loop = asyncio.get_running_loop()
-        transport, way = await loop.create_datagram_endpoint(
+        transport, path = await loop.create_datagram_endpoint(
             lambda: RelayedPath(self, name, target), local_addr=(target[0], 0)
         )
-        self.senders[target] = name
-        self.ways.append(way)
-        reached: Address = transport.get_extra_info("sockname")
-        return reached
+        self.senders_by_address[target] = name
+        self.paths.append(path)
+        address: Address = transport.get_extra_info("sockname")
+        return address
 
     def close(self) -> None:
-        for way in self.ways:
-            way.transport.close()
+        for path in self.paths:
+            path.transport.close()
--- a/locktide/simulation/cluster/fairness_runs.py
+++ b/locktide/simulation/cluster/fairness_runs.py
@@ -1,6 +1,6 @@
-"""Ledgers of many members in virtual time, held against a recount from the other side and a central solver.
+"""Compares the ledgers of members in virtual time with a count of the jobs and with a central solver.
 
-The solver shares no code with the accord: floats, and a level that is sought by halving.
+The solver shares no code with the cluster: it computes in floats and finds the water level by bisection.
 """
 
 from __future__ import annotations
@@ -11,163 +11,203 @@
 from locktide.scheduler.types import AttemptOutcome, EndpointState, ListUpdateKind
 from locktide.simulation.cluster.virtual_cluster import VirtualCluster
 
-SECOND = 1_000_000
-# Two resources; what one job of each tenant's grade holds of them, in thousandths: different bottlenecks.
+SECOND = 1_000_000  # microseconds
+#: Two resources, and the needs of a job of each service class, in thousandths; their bottlenecks differ.
 RESOURCES = ["slots", "memory"]
 NEEDS = {"wide": [1_000, 200], "deep": [200, 1_500], "plain": [500, 500]}
+#: The service class and the weight of each tenant.
 TENANTS = {"dairy": ("wide", 1), "goats": ("deep", 1), "sheep": ("plain", 2), "hens": ("wide", 1)}
-EACH, WORKERS = [4_000, 6_000], 12
-LONGEST = 6 * SECOND
+#: The capacity of each worker, in thousandths, and how many workers there are.
+WORKER_CAPACITY, WORKER_COUNT = [4_000, 6_000], 12
+#: How long a job of a dispatcher that died counts as running, in microseconds.
+MAX_JOB_TIME = 6 * SECOND
 
 
-def solved(capacity: list[int], demands: dict[int, list[int]], weights: dict[int, int]) -> dict[int, float]:
-    """The dominant shares of weighted progressive filling, by halving."""
-    wanted = {
+def solve_dominant_shares(
+    capacity: list[int], demands: dict[int, list[int]], weights: dict[int, int]
+) -> dict[int, float]:
+    """Compute the dominant shares of weighted progressive filling, with bisection for the level."""
+    max_shares = {
         name: max(
             (amount / whole if whole else 1.0) if amount else 0.0
             for amount, whole in zip(demand, capacity, strict=True)
         )
         for name, demand in demands.items()
     }
-    fixed = {name: 0.0 for name, most in wanted.items() if most == 0.0}
-    open_ = set(wanted) - set(fixed)
+    fixed_shares = {name: 0.0 for name, max_share in max_shares.items() if max_share == 0.0}
+    open_tenants = set(max_shares) - set(fixed_shares)
 
-    def given(level: float) -> dict[int, float]:
-        return fixed | {name: min(wanted[name], level * weights[name]) for name in open_}
+    def shares_at(level: float) -> dict[int, float]:
+        return fixed_shares | {name: min(max_shares[name], level * weights[name]) for name in open_tenants}
 
-    def used(shares: dict[int, float], place: int) -> float:
+    def resource_use(shares: dict[int, float], index: int) -> float:
         return sum(
-            share / wanted[name] * demands[name][place] for name, share in shares.items() if wanted[name]
+            share / max_shares[name] * demands[name][index]
+            for name, share in shares.items()
+            if max_shares[name]
         )
 
-    def fits(level: float) -> bool:
-        shares = given(level)
-        return all(used(shares, place) <= whole * (1 + 1e-12) for place, whole in enumerate(capacity))
+    def is_feasible(level: float) -> bool:
+        shares = shares_at(level)
+        return all(resource_use(shares, index) <= whole * (1 + 1e-12) for index, whole in enumerate(capacity))
 
-    while open_:
+    while open_tenants:
         low, high = 0.0, 2.0
         for _ in range(60):
             middle = (low + high) / 2
-            low, high = (middle, high) if fits(middle) else (low, middle)
-        shares = given(low)
-        full = [place for place, whole in enumerate(capacity) if used(shares, place) >= whole * (1 - 1e-9)]
-        done = {
+            low, high = (middle, high) if is_feasible(middle) else (low, middle)
+        shares = shares_at(low)
+        exhausted = [
+            index for index, whole in enumerate(capacity) if resource_use(shares, index) >= whole * (1 - 1e-9)
+        ]
+        settled = {
             name
-            for name in open_
-            if shares[name] >= wanted[name] - 1e-12 or any(demands[name][place] for place in full)
-        } or set(open_)
-        fixed |= {name: shares[name] for name in done}
-        open_ -= done
-    return fixed
+            for name in open_tenants
+            if shares[name] >= max_shares[name] - 1e-12 or any(demands[name][index] for index in exhausted)
+        } or set(open_tenants)
+        fixed_shares |= {name: shares[name] for name in settled}
+        open_tenants -= settled
+    return fixed_shares
 
 
 class FairnessRun:
-    """Members at which tenants' jobs come and go, drawn; `jobs` is what truly is out and waits."""
+    """A cluster to which tenants submit jobs at random times.
+
+    Attributes:
+        config: configuration of the ledgers.
+        cluster: the cluster.
+        random: the source of random draws, which is that of the cluster.
+        job_count: how many jobs were submitted.
+        jobs: the jobs that wait or run, by id: member, tenant, and whether the job runs.
+    """
 
     def __init__(self, seed: int, members: int, lose: float = 0.0) -> None:
         names = [f"d{number}" for number in range(members)]
-        self.terms = FairnessConfig(
-            RESOURCES, {name: weight for name, (_, weight) in TENANTS.items()}, NEEDS, EACH, LONGEST
+        self.config = FairnessConfig(
+            RESOURCES,
+            {name: weight for name, (_, weight) in TENANTS.items()},
+            NEEDS,
+            WORKER_CAPACITY,
+            MAX_JOB_TIME,
         )
-        self.world = VirtualCluster(
-            seed, names, min(5, members - 1 + members % 2), members + 2, ledger=self.terms
+        self.cluster = VirtualCluster(
+            seed, names, min(5, members - 1 + members % 2), members + 2, fairness=self.config
         )
-        self.random, self.made = self.world.random, 0
-        self.world.net.lose = lose
-        self.jobs: dict[str, tuple[str, str, bool]] = {}  # by id: member, tenant, whether it is out
-        entries = [EndpointEntry(f"w{n}", "z", "k", 0, EndpointState.READY, 1.0, 0) for n in range(WORKERS)]
+        self.random, self.job_count = self.cluster.random, 0
+        self.cluster.network.lose = lose
+        self.jobs: dict[str, tuple[str, str, bool]] = {}
+        entries = [
+            EndpointEntry(f"w{n}", "z", "k", 0, EndpointState.READY, 1.0, 0) for n in range(WORKER_COUNT)
+        ]
         for name in names:
-            process = self.world.begin(name)
-            assert process.agent.ledger is not None
-            process.agent.ledger.usage.observe(EndpointListUpdate(ListUpdateKind.SNAPSHOT, entries))
+            process = self.cluster.start(name)
+            assert process.member.ledger is not None
+            process.member.ledger.usage.observe(EndpointListUpdate(ListUpdateKind.SNAPSHOT, entries))
 
-    def tell(self, member: str, piece: object) -> None:
-        process = self.world.live(member)
-        if process is not None and process.agent.ledger is not None:
-            process.agent.ledger.usage.observe(piece)
+    def notify_member(self, member: str, change: object) -> None:
+        """Pass a change to the usage of a member's ledger, if the member is alive."""
+        process = self.cluster.live_process(member)
+        if process is not None and process.member.ledger is not None:
+            process.member.ledger.usage.observe(change)
 
     def step(self) -> None:
-        """A few jobs come, go out, and end; dairy's mostly at one member."""
-        for tenant, (grade, _) in TENANTS.items():
+        """Submit, start and end a few jobs; most of the jobs of dairy are submitted at the first member."""
+        for tenant, (service_class, _) in TENANTS.items():
             if self.random.random() < 0.5:
-                self.made += 1
-                job = f"j{self.made}"
-                skewed = tenant == "dairy" and self.random.random() < 0.8
-                member = self.world.names[0] if skewed else self.random.choice(self.world.names)
+                self.job_count += 1
+                job = f"j{self.job_count}"
+                is_at_first_member = tenant == "dairy" and self.random.random() < 0.8
+                member = (
+                    self.cluster.names[0] if is_at_first_member else self.random.choice(self.cluster.names)
+                )
                 self.jobs[job] = (member, tenant, False)
-                self.tell(member, RequestArrived(job, grade, 1 << 60, tenant=tenant))
-        for job, (member, tenant, out) in list(self.jobs.items()):
+                self.notify_member(member, RequestArrived(job, service_class, 1 << 60, tenant=tenant))
+        for job, (member, tenant, is_running) in list(self.jobs.items()):
             draw = self.random.random()
-            if not out and draw < 0.1:
+            if not is_running and draw < 0.1:
                 self.jobs[job] = (member, tenant, True)
-                self.tell(member, StartAttempt(job, "w0"))
-            elif out and draw < 0.01:
+                self.notify_member(member, StartAttempt(job, "w0"))
+            elif is_running and draw < 0.01:
                 del self.jobs[job]
-                self.tell(member, AttemptEnded(job, 0, AttemptOutcome.DONE, True))
+                self.notify_member(member, AttemptEnded(job, 0, AttemptOutcome.DONE, True))
 
     def run(self, seconds: float) -> None:
-        until = self.world.now + int(seconds * SECOND)
-        while self.world.now < until:
+        """Run for a time, with a step each 40 milliseconds."""
+        until = self.cluster.now + int(seconds * SECOND)
+        while self.cluster.now < until:
             self.step()
-            self.world.run(self.world.now + 40_000)
+            self.cluster.run(self.cluster.now + 40_000)
 
-    def quiet(self) -> None:
-        """What was at those that died is gone."""
+    def drop_jobs_of_dead_members(self) -> None:
+        """Remove the jobs of members that have died from the count."""
         self.jobs = {
-            job: told
-            for job, told in self.jobs.items()
-            if (process := self.world.live(told[0])) is not None and process.alive
+            job: state
+            for job, state in self.jobs.items()
+            if (process := self.cluster.live_process(state[0])) is not None and process.alive
         }
 
-    def live(self) -> list[int]:
-        return [place for place, one in enumerate(self.world.all) if one.alive]
+    def live_indices(self) -> list[int]:
+        """Return the indices of the processes that are alive."""
+        return [index for index, process in enumerate(self.cluster.processes) if process.alive]
+
+    def run_until_equal(self, max_seconds: float = 10.0) -> float:
+        """Run without new jobs until the ledgers of all live members are equal.
 
-    def until_equal(self, most: float = 10.0) -> float:
-        """Seconds until all that live have the same digest; the longest there is, where they do not."""
-        begun = self.world.now
-        while self.world.now < begun + most * SECOND:
-            ledgers = [one.agent.ledger for one in self.world.all if one.alive]
+        Returns:
+            The seconds until then; `max_seconds` if they were not equal within that time.
+        """
+        started_at = self.cluster.now
+        while self.cluster.now < started_at + max_seconds * SECOND:
+            ledgers = [one.member.ledger for one in self.cluster.processes if one.alive]
             digests = {(one.replica.digest, one.standing.digest) for one in ledgers if one is not None}
-            if len(digests) == 1 and len(set(next(iter(digests)))) == 1 and self.written():
-                return (self.world.now - begun) / SECOND
-            self.world.run(self.world.now + 50_000)
-        return most
-
-    def written(self) -> bool:
-        """Whether all that is held here stands in the rows."""
-        for one in self.world.all:
-            ledger = one.agent.ledger
-            if not one.alive or ledger is None:
+            if len(digests) == 1 and len(set(next(iter(digests)))) == 1 and self.has_written_all():
+                return (self.cluster.now - started_at) / SECOND
+            self.cluster.run(self.cluster.now + 50_000)
+        return max_seconds
+
+    def has_written_all(self) -> bool:
+        """Return whether each live member has written all of its usage into its rows."""
+        for process in self.cluster.processes:
+            ledger = process.member.ledger
+            if not process.alive or ledger is None:
                 continue
-            pages = ledger.replica.writers.get(ledger.member_id)
-            for place, held in ledger.usage.in_use.items():
-                row = pages.rows.get(place) if pages is not None else None
-                now = held, ledger.usage.waiting[place]
-                if any(held) and (row is None or (row.in_use, row.waiting) != now):
+            writer = ledger.replica.writers.get(ledger.member_id)
+            for index, held in ledger.usage.in_use.items():
+                row = writer.rows.get(index) if writer is not None else None
+                current = held, ledger.usage.waiting[index]
+                if any(held) and (row is None or (row.in_use, row.waiting) != current):
                     return False
         return True
 
-    def distance(self) -> float:
-        """The largest difference of any member's shares, held and fair, from what truly is out and a central
-        solver on that.
+    def measure_share_error(self) -> float:
+        """Return the largest error of a dominant or fair share at any live member.
+
+        The dominant shares are compared with those of the jobs that run, and the fair shares with the result
+        of the solver for the jobs that run or wait.
         """
         names = sorted(TENANTS)
-        held = {place: [0, 0] for place in range(len(names))}
-        asked = {place: [0, 0] for place in range(len(names))}
-        for _, tenant, out in self.jobs.values():
-            place = names.index(tenant)
+        held = {index: [0, 0] for index in range(len(names))}
+        demands = {index: [0, 0] for index in range(len(names))}
+        for _, tenant, is_running in self.jobs.values():
+            index = names.index(tenant)
             for resource, amount in enumerate(NEEDS[TENANTS[tenant][0]]):
-                asked[place][resource] += amount
-                held[place][resource] += amount * out
-        capacity = [amount * WORKERS for amount in EACH]
-        fair = solved(capacity, asked, {place: TENANTS[name][1] for place, name in enumerate(names)})
-        worst = 0.0
-        for one in self.world.all:
-            if not one.alive or one.agent.ledger is None:
+                demands[index][resource] += amount
+                held[index][resource] += amount * is_running
+        capacity = [amount * WORKER_COUNT for amount in WORKER_CAPACITY]
+        fair_shares = solve_dominant_shares(
+            capacity, demands, {index: TENANTS[name][1] for index, name in enumerate(names)}
+        )
+        max_error = 0.0
+        for process in self.cluster.processes:
+            if not process.alive or process.member.ledger is None:
                 continue
-            standing = one.agent.ledger.standing
-            for place, name in enumerate(names):
-                true = max(a / c for a, c in zip(held[place], capacity, strict=True))
-                worst = max(worst, abs(standing.dominant_shares.get(name, 0) / (1 << 40) - true))
-                worst = max(worst, abs(standing.fair_shares.get(name, 0) / (1 << 40) - fair[place]))
-        return worst
+            standing = process.member.ledger.standing
+            for index, name in enumerate(names):
+                dominant_share = max(a / c for a, c in zip(held[index], capacity, strict=True))
+                max_error = max(
+                    max_error, abs(standing.dominant_shares.get(name, 0) / (1 << 40) - dominant_share)
+                )
+                max_error = max(
+                    max_error, abs(standing.fair_shares.get(name, 0) / (1 << 40) - fair_shares[index])
+                )
+        return max_error
--- a/locktide/simulation/cluster/processes.py
+++ b/locktide/simulation/cluster/processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the program on loopback, with faults between them; the meter sums what they traced."""
+"""Runs of several processes on loopback with faults; the checker reads the traces that they write."""
 
 from __future__ import annotations
 
@@ -38,25 +38,38 @@
     "two thirds",
     "stop",
 )
-READY_WITHIN = 20.0
-QUIET = 8.0  # seconds at the end of a run
-# Of them so many without a submission: what waits is given up after a second, then there are two of quiet.
-SETTLES = 3.0
+#: How long the processes may take to start, in seconds.
+START_TIMEOUT_S = 20.0
+#: Time without faults at the end of a run, in seconds.
+QUIET_TIME_S = 8.0
+#: Its last part, in which no requests are submitted, in seconds. Requests that wait are given up after one
+#: second; two idle ones follow.
+IDLE_TIME_S = 3.0
 
 
 def free_port(kind: socket.SocketKind) -> int:
-    with socket.socket(socket.AF_INET, kind) as one:
-        one.bind((HOST, 0))
-        return int(one.getsockname()[1])
+    """Return a port of that kind that is free at present."""
+    with socket.socket(socket.AF_INET, kind) as probe:
+        probe.bind((HOST, 0))
+        return int(probe.getsockname()[1])
 
 
-def monotonic() -> int:
+def monotonic_us() -> int:
+    """Return the monotonic time in microseconds, which is the clock of the traces."""
     return time.monotonic_ns() // 1000
 
 
 @dataclass
 class MemberProcess:
-    """One process, from its start to its end."""
+    """One process, from its start to its end.
+
+    Attributes:
+        name: the name of the member.
+        process: the operating system's process.
+        trace: the file to which it writes the quotas in force.
+        ended_at: when it was killed, in microseconds of the monotonic clock; 0 while it is alive.
+        paused: whether it is stopped by SIGSTOP.
+    """
 
     name: str
     process: subprocess.Popen[bytes]
@@ -66,57 +79,94 @@
 
     @property
     def alive(self) -> bool:
+        """Return whether the process has not been killed."""
         return not self.ended_at
 
 
 @dataclass
 class ProcessOutcome:
+    """The outcome of one run.
+
+    Attributes:
+        seed: the seed of the run.
+        processes: how many names of members there are.
+        faults: how often each fault was injected.
+        overruns: the first five overruns of quotas.
+        datagrams: how many datagrams were sent to the relay.
+        lost: how many of them were lost or cut.
+        changes: how many changes of the quotas in force all processes recorded.
+        asked: how many requests were submitted.
+        loans: how many loans were in force, counted anew at each change.
+        reclaims: for each return of an owner that had lent, the seconds until its loans were over.
+        ledgers: how many different ledgers there are at the end; 1 if all are equal.
+        agree: whether all processes answered at the end and regard the same members as alive.
+    """
+
     seed: int
     processes: int
     faults: dict[str, int] = field(default_factory=dict)
     overruns: list[str] = field(default_factory=list)
     datagrams: int = 0
     lost: int = 0
-    changes: int = 0  # of what was in force, over all
-    asked: int = 0  # submissions handed in
+    changes: int = 0
+    asked: int = 0
     loans: int = 0
-    reclaims: list[float] = field(default_factory=list)  # seconds until loans were over, of each return
-    ledgers: int = 0  # different ones at the end; 1 where all are equal
+    reclaims: list[float] = field(default_factory=list)
+    ledgers: int = 0
     agree: bool = False
 
     @property
-    def told(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
+        """Return the fields by name."""
         return asdict(self)
 
 
 class ProcessCluster:
-    program = ("-m", "locktide.cli.main")  # a test puts one with a fault in its place
+    """Several processes with a relay between them.
+
+    Attributes:
+        program: arguments of the interpreter that start a dispatcher; a test replaces them, for a faulty one.
+        seed: the seed of the run.
+        random: the source of random draws, besides that of the relay.
+        folder: the folder of the settings, traces and logs.
+        relay: the relay.
+        names: the names of the members.
+        acceptors: those of them that elect the leader.
+        member_addresses: the addresses at which the members receive datagrams, by name.
+        relay_addresses: the ports of the relay at which the other members reach them, by name.
+        processes: all processes that were started.
+        fault_counts: how often each fault was injected.
+        client_addresses: the address at which the latest process of each name accepts requests.
+        submissions: when requests were submitted, in microseconds of the monotonic clock, and their tenants.
+        demand_factors: the present demand of each tenant; at 2 or more it has a request in every draw.
+    """
+
+    program = ("-m", "locktide.cli.main")
 
     def __init__(self, seed: int, count: int, folder: Path) -> None:
         self.seed, self.random, self.folder, self.relay = seed, Random(seed), folder, DatagramRelay(seed)
         self.names = [f"d{number}" for number in range(count)]
-        self.electors = self.names[: 3 if count < 5 else 5]
-        self.listen = {name: (HOST, free_port(socket.SOCK_DGRAM)) for name in self.names}
-        self.reach: dict[str, tuple[str, int]] = {}
-        self.lives: list[MemberProcess] = []
-        self.counts = Counter[str]()
-        # Where the latest process of each name takes submissions.
-        self.serving: dict[str, tuple[str, int]] = {}
-        self.asked: list[tuple[int, str]] = []  # when, of which tenant
-        self.tenants = {"dairy": 1.0, "goats": 1.0}
-
-    async def ask(self) -> None:
-        """Clients that hand in and wait for nothing: tenants ask for much, little or nothing for a while."""
-        lines: dict[str, asyncio.StreamWriter] = {}
+        self.acceptors = self.names[: 3 if count < 5 else 5]
+        self.member_addresses = {name: (HOST, free_port(socket.SOCK_DGRAM)) for name in self.names}
+        self.relay_addresses: dict[str, tuple[str, int]] = {}
+        self.processes: list[MemberProcess] = []
+        self.fault_counts = Counter[str]()
+        self.client_addresses: dict[str, tuple[str, int]] = {}
+        self.submissions: list[tuple[int, str]] = []
+        self.demand_factors = {"dairy": 1.0, "goats": 1.0}
+
+    async def submit_requests(self) -> None:
+        """Submit requests of tenants whose demand changes, without waiting for the responses."""
+        connections: dict[str, asyncio.StreamWriter] = {}
         number = 0
         while True:
             await asyncio.sleep(0.02)
-            for tenant in self.tenants:
+            for tenant in self.demand_factors:
                 if self.random.random() < 0.008:
-                    self.tenants[tenant] = self.random.choice((0.0, 0.0, 1.0, 3.0))
-            for name in [life.name for life in self.live()]:
-                tenant = self.random.choice(list(self.tenants))
-                if self.random.random() * 2.0 > self.tenants[tenant]:
+                    self.demand_factors[tenant] = self.random.choice((0.0, 0.0, 1.0, 3.0))
+            for name in [member_process.name for member_process in self.running_processes()]:
+                tenant = self.random.choice(list(self.demand_factors))
+                if self.random.random() * 2.0 > self.demand_factors[tenant]:
                     continue
                 number += 1
                 fields = {
@@ -128,36 +178,43 @@
                     "Content-Length": "0",
                 }
                 head = "\r\n".join(["POST /view HTTP/1.1", *(f"{a}: {b}" for a, b in fields.items()), "", ""])
-                # A new connection each time: what was asked for is counted, answers are nobody's.
+                # Each request has a new connection: requests are counted, and responses are not read.
                 with suppress(OSError, TimeoutError):
                     async with asyncio.timeout(0.2):
-                        _, writer = await asyncio.open_connection(*self.serving[name])
+                        _, writer = await asyncio.open_connection(*self.client_addresses[name])
                         writer.write(head.encode())
-                    self.asked.append((monotonic(), tenant))
-                    if (before := lines.pop(name, None)) is not None:
-                        before.close()
-                    lines[name] = writer
-
-    def file(self, name: str, listen: tuple[str, int], reach: tuple[str, int], trace: Path) -> Path:
-        self.serving[name] = (HOST, free_port(socket.SOCK_STREAM))
+                    self.submissions.append((monotonic_us(), tenant))
+                    if (previous := connections.pop(name, None)) is not None:
+                        previous.close()
+                    connections[name] = writer
+
+    def write_config(
+        self, name: str, member_address: tuple[str, int], reachable_at: tuple[str, int], trace: Path
+    ) -> Path:
+        """Write the settings of a process, with a new port for clients; return their path."""
+        self.client_addresses[name] = (HOST, free_port(socket.SOCK_STREAM))
         lines = [
             "[serve]",
             f'name = "{name}"',
-            f'listen = "{HOST}:{self.serving[name][1]}"',
+            f'listen = "{HOST}:{self.client_addresses[name][1]}"',
             f'roster = "{HOST}:9"',
             "[log]",
             'format = "json"',
             "[accord]",
             "on = true",
-            f'listen = "{listen[0]}:{listen[1]}"',
-            f'reach = "{reach[0]}:{reach[1]}"',
+            f'listen = "{member_address[0]}:{member_address[1]}"',
+            f'reach = "{reachable_at[0]}:{reachable_at[1]}"',
             f"most = {len(self.names) + 2}",
             f'trace = "{trace}"',
             "lend = 0.6",
         ]
-        for elector in self.electors:
-            at = self.reach[elector] if elector != name or reach == self.reach[name] else reach
-            lines += ["[[accord.electors]]", f'name = "{elector}"', f'address = "{at[0]}:{at[1]}"']
+        for acceptor in self.acceptors:
+            address = (
+                self.relay_addresses[acceptor]
+                if acceptor != name or reachable_at == self.relay_addresses[name]
+                else reachable_at
+            )
+            lines += ["[[accord.electors]]", f'name = "{acceptor}"', f'address = "{address[0]}:{address[1]}"']
         lines += [
             "[[tenant]]",
             'name = "dairy"',
@@ -178,12 +235,15 @@
         path.write_text("\n".join(lines) + "\n")
         return path
 
-    def begin(self, name: str, double: bool = False) -> MemberProcess:
-        trace = self.folder / f"{name}-{len(self.lives)}.trace"
-        listen = (HOST, free_port(socket.SOCK_DGRAM)) if double else self.listen[name]
-        path = self.file(name, listen, listen if double else self.reach[name], trace)
-        if double:
-            self.relay.senders[listen] = name
+    def start(self, name: str, is_double: bool = False) -> MemberProcess:
+        """Start a process of that name; a double runs beside another one, at an address of its own."""
+        trace = self.folder / f"{name}-{len(self.processes)}.trace"
+        member_address = (HOST, free_port(socket.SOCK_DGRAM)) if is_double else self.member_addresses[name]
+        path = self.write_config(
+            name, member_address, member_address if is_double else self.relay_addresses[name], trace
+        )
+        if is_double:
+            self.relay.senders_by_address[member_address] = name
         with open(trace.with_suffix(".log"), "ab") as log:
             process = subprocess.Popen(
                 [sys.executable, *self.program, "serve", str(path)],
@@ -192,152 +252,171 @@
                 stdin=subprocess.DEVNULL,
                 env={**os.environ, "PYTHONPATH": str(Path(__file__).parents[3])},
             )
-        life = MemberProcess(name, process, trace)
-        self.lives.append(life)
-        return life
-
-    def live(self) -> list[MemberProcess]:
-        return [life for life in self.lives if life.alive and not life.paused]
+        member_process = MemberProcess(name, process, trace)
+        self.processes.append(member_process)
+        return member_process
+
+    def running_processes(self) -> list[MemberProcess]:
+        """Return the processes that are neither dead nor paused."""
+        return [
+            member_process
+            for member_process in self.processes
+            if member_process.alive and not member_process.paused
+        ]
 
-    def kill(self, life: MemberProcess, how: signal.Signals = signal.SIGKILL) -> None:
-        if life.alive:
-            life.process.send_signal(how)
-            if how == signal.SIGTERM:
+    def kill(self, member_process: MemberProcess, signal_number: signal.Signals = signal.SIGKILL) -> None:
+        """End a process; after SIGTERM it has six seconds to stop by itself."""
+        if member_process.alive:
+            member_process.process.send_signal(signal_number)
+            if signal_number == signal.SIGTERM:
                 with suppress(subprocess.TimeoutExpired):
-                    life.process.wait(6.0)
-            life.process.kill()
-            life.process.wait()
-            life.ended_at = monotonic()
+                    member_process.process.wait(6.0)
+            member_process.process.kill()
+            member_process.process.wait()
+            member_process.ended_at = monotonic_us()
 
     # --- faults
 
-    async def fault(self, what: str) -> None:
-        """Does it, and undoes it after a while."""
-        self.counts[what] += 1
-        net, span = self.relay.net, self.random.uniform(0.3, 4.0)
-        live = self.live()
+    async def inject(self, fault: str) -> None:
+        """Inject a fault, and undo it after a random time."""
+        self.fault_counts[fault] += 1
+        network, duration = self.relay.network, self.random.uniform(0.3, 4.0)
+        live = self.running_processes()
         one = self.random.choice(live) if live else None
-        if what in ("cut", "cut one way"):
-            part = set(self.random.sample(self.names, self.random.randrange(1, len(self.names))))
-            pairs = {(one, other) for one in part for other in self.names if other not in part}
-            pairs |= {(other, one) for one, other in pairs} if what == "cut" else set()
-            net.cut |= pairs
-            await asyncio.sleep(span)
-            net.cut -= pairs
-        elif what in ("lossy", "late", "doubling", "garbling"):
-            key = {"lossy": "lose", "late": "late", "doubling": "double", "garbling": "garble"}[what]
-            setattr(net, key, self.random.uniform(0.1, 0.6))
-            await asyncio.sleep(span)
-            setattr(net, key, 0.0)
-        elif what == "two thirds":
+        if fault in ("cut", "cut one way"):
+            separated = set(self.random.sample(self.names, self.random.randrange(1, len(self.names))))
+            links = {(one, other) for one in separated for other in self.names if other not in separated}
+            links |= {(other, one) for one, other in links} if fault == "cut" else set()
+            network.cut |= links
+            await asyncio.sleep(duration)
+            network.cut -= links
+        elif fault in ("lossy", "late", "doubling", "garbling"):
+            key = {"lossy": "lose", "late": "late", "doubling": "double", "garbling": "garble"}[fault]
+            setattr(network, key, self.random.uniform(0.1, 0.6))
+            await asyncio.sleep(duration)
+            setattr(network, key, 0.0)
+        elif fault == "two thirds":
             killed = self.random.sample(live, 2 * len(live) // 3)
-            for life in killed:
-                self.kill(life)
-            await asyncio.sleep(span)
-            for life in killed:
-                self.again(life.name)
-        elif one is not None and what == "pause":
+            for member_process in killed:
+                self.kill(member_process)
+            await asyncio.sleep(duration)
+            for member_process in killed:
+                self.restart(member_process.name)
+        elif one is not None and fault == "pause":
             one.paused = True
             one.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(span + 2.5)  # longer than a lease
+            await asyncio.sleep(duration + 2.5)  # longer than a lease
             one.process.send_signal(signal.SIGCONT)
             one.paused = False
-        elif one is not None and what in ("kill", "restart", "stop"):
-            self.kill(one, signal.SIGTERM if what == "stop" else signal.SIGKILL)
-            await asyncio.sleep(span if what == "kill" else 0.0)
-            self.again(one.name)
-        elif one is not None and what == "twice" and self.counts["twice"] <= 2:
-            double = self.begin(one.name, double=True)
-            await asyncio.sleep(span + 1.5)
+        elif one is not None and fault in ("kill", "restart", "stop"):
+            self.kill(one, signal.SIGTERM if fault == "stop" else signal.SIGKILL)
+            await asyncio.sleep(duration if fault == "kill" else 0.0)
+            self.restart(one.name)
+        elif one is not None and fault == "twice" and self.fault_counts["twice"] <= 2:
+            double = self.start(one.name, is_double=True)
+            await asyncio.sleep(duration + 1.5)
             self.kill(double)
 
-    def again(self, name: str) -> None:
-        if not any(life.alive and life.name == name for life in self.lives):
-            self.begin(name)
+    def restart(self, name: str) -> None:
+        """Start a process of that name, unless one is alive."""
+        if not any(member_process.alive and member_process.name == name for member_process in self.processes):
+            self.start(name)
 
     # --- the run
 
-    async def play(self, length: float, faults: list[tuple[float, str]]) -> ProcessOutcome:
+    async def run(self, length_s: float, faults: list[tuple[float, str]]) -> ProcessOutcome:
+        """Run for that long and the quiet time, with faults at their times in seconds; return the outcome."""
         try:
             for name in self.names:
-                self.reach[name] = await self.relay.way(name, self.listen[name])
+                self.relay_addresses[name] = await self.relay.open_path(name, self.member_addresses[name])
             for name in self.names:
-                self.begin(name)
-            begun = time.monotonic()
-            while any(not life.trace.exists() for life in self.lives):
-                if time.monotonic() - begun > READY_WITHIN:
+                self.start(name)
+            started_at = time.monotonic()
+            while any(not member_process.trace.exists() for member_process in self.processes):
+                if time.monotonic() - started_at > START_TIMEOUT_S:
                     raise TimeoutError("not all processes came up")
                 await asyncio.sleep(0.05)
-            under_way = [asyncio.create_task(self.after(at, what)) for at, what in faults]
-            asking = asyncio.create_task(self.ask())
-            await asyncio.sleep(length)
-            await asyncio.gather(*under_way)
-            self.relay.net = ClusterNetwork()
-            await asyncio.sleep(max(0.0, QUIET - SETTLES))
-            asking.cancel()
-            await asyncio.sleep(SETTLES)
-            return await self.outcome()
+            fault_tasks = [
+                asyncio.create_task(self.inject_after(delay_s, fault)) for delay_s, fault in faults
+            ]
+            submitting = asyncio.create_task(self.submit_requests())
+            await asyncio.sleep(length_s)
+            await asyncio.gather(*fault_tasks)
+            self.relay.network = ClusterNetwork()
+            await asyncio.sleep(max(0.0, QUIET_TIME_S - IDLE_TIME_S))
+            submitting.cancel()
+            await asyncio.sleep(IDLE_TIME_S)
+            return await self.summarize()
         finally:
-            for life in self.lives:
-                if life.paused:
-                    life.process.send_signal(signal.SIGCONT)
-                self.kill(life)
+            for member_process in self.processes:
+                if member_process.paused:
+                    member_process.process.send_signal(signal.SIGCONT)
+                self.kill(member_process)
             self.relay.close()
 
-    async def after(self, at: float, what: str) -> None:
-        await asyncio.sleep(at)
-        await self.fault(what)
+    async def inject_after(self, delay_s: float, fault: str) -> None:
+        """Inject a fault after a time."""
+        await asyncio.sleep(delay_s)
+        await self.inject(fault)
 
-    async def outcome(self) -> ProcessOutcome:
+    async def summarize(self) -> ProcessOutcome:
+        """Return the outcome, from an inspection of the running processes and from all traces."""
         views, digests = [], set()
-        for life in self.live():
+        for member_process in self.running_processes():
             with suppress(OSError, TimeoutError, ValueError):
-                seen = await inspect_member(self.listen[life.name])
-                digests.add(seen["ledger"].get("digest"))
-                views.append([row["name"] for row in seen["members"] if row["state"] in ("alive", "suspect")])
-        meter, changes = QuotaChecker({"dairy": (0.0, 0.0), "goats": (0.0, 0.0)}), 0
-        for life in self.lives:
-            for line in life.trace.read_text().splitlines() if life.trace.exists() else ():
-                told, changes = json.loads(line), changes + 1
-                loans = {(owner, borrower): part for owner, borrower, part in told["loans"]}
-                meter.in_force(
-                    life.trace.name,
-                    told["at"],
-                    told["parts"],
-                    told["until"],
-                    told["floor"],
+                inspection = await inspect_member(self.member_addresses[member_process.name])
+                digests.add(inspection["ledger"].get("digest"))
+                views.append(
+                    [row["name"] for row in inspection["members"] if row["state"] in ("alive", "suspect")]
+                )
+        checker, changes = QuotaChecker({"dairy": (0.0, 0.0), "goats": (0.0, 0.0)}), 0
+        for member_process in self.processes:
+            for line in (
+                member_process.trace.read_text().splitlines() if member_process.trace.exists() else ()
+            ):
+                record, changes = json.loads(line), changes + 1
+                loans = {(owner, borrower): share for owner, borrower, share in record["loans"]}
+                checker.in_force(
+                    member_process.trace.name,
+                    record["at"],
+                    record["parts"],
+                    record["until"],
+                    record["floor"],
                     loans,
-                    told["loans_until"],
+                    record["loans_until"],
                 )
-            if life.ended_at:
-                meter.end(life.trace.name, life.ended_at)
-        for at, tenant in self.asked:
-            meter.ask(tenant, at)
-        reclaims = [one.loans_over / 1e6 for one in meter.reclaims(3_000_000)]
+            if member_process.ended_at:
+                checker.end(member_process.trace.name, member_process.ended_at)
+        for at, tenant in self.submissions:
+            checker.ask(tenant, at)
+        reclaims = [one.loans_over / 1e6 for one in checker.reclaims(3_000_000)]
         return ProcessOutcome(
             self.seed,
             len(self.names),
-            dict(self.counts),
-            [f"{one.at}: {one.budget}, {one.what}" for one in meter.overruns()[:5]],
-            self.relay.passed,
-            self.relay.lost,
+            dict(self.fault_counts),
+            [f"{one.at}: {one.budget}, {one.what}" for one in checker.overruns()[:5]],
+            self.relay.received_count,
+            self.relay.lost_count,
             changes,
-            len(self.asked),
-            sum(1 for _ in meter.lent()),
+            len(self.submissions),
+            sum(1 for _ in checker.lent()),
             reclaims,
             len(digests),
-            len(views) == len(self.live()) and all(view == views[0] for view in views),
+            len(views) == len(self.running_processes()) and all(view == views[0] for view in views),
         )
 
 
-def drawn(seed: int, count: int, length: float, faults: int) -> list[tuple[float, str]]:
+def draw_faults(seed: int, count: int, length_s: float, fault_count: int) -> list[tuple[float, str]]:
+    """Draw the faults of a run, with their times in seconds."""
     random = Random(seed * 31 + count)
-    return [(random.uniform(4.0, 4.0 + length), random.choice(FAULTS)) for _ in range(faults)]
+    return [(random.uniform(4.0, 4.0 + length_s), random.choice(FAULTS)) for _ in range(fault_count)]
 
 
-def play(seed: int, count: int, folder: Path, length: float = 16.0, faults: int = 6) -> ProcessOutcome:
-    """One run of `count` processes with so many faults at drawn moments; seconds."""
+def run(seed: int, count: int, folder: Path, length_s: float = 16.0, fault_count: int = 6) -> ProcessOutcome:
+    """Run `count` processes with random faults; `length_s` is the time in which faults begin."""
     folder.mkdir(parents=True, exist_ok=True)
     return asyncio.run(
-        ProcessCluster(seed, count, folder).play(4.0 + length, drawn(seed, count, length, faults))
+        ProcessCluster(seed, count, folder).run(
+            4.0 + length_s, draw_faults(seed, count, length_s, fault_count)
+        )
     )
--- a/locktide/simulation/cluster/quota_checker.py
+++ b/locktide/simulation/cluster/quota_checker.py
@@ -1,9 +1,9 @@
-"""Checks the promise on budgets from what processes logged; shares no code with what it checks.
+"""Checks the quotas of a cluster from what its processes recorded; shares no code with what it checks.
 
-Told, on one clock that all share: what each process has in force from a moment on and until when, what it
-spends, and when it was killed. The parts in force at live processes must never sum to more than the whole, at
-any instant; and what all spend of a rate must never exceed the burst and the rate of the whole, over any
-span.
+Recorded are what each process has in force, from when and until when; what it spends; and when it was killed.
+The shares in force at live processes must never sum to more than the whole of their quota, at any instant.
+And over any span, all processes together must not spend more than the burst and the rate of the whole quota.
+Times are microseconds of one clock that all processes share, shares are millionths of the whole quota.
 """
 
 from __future__ import annotations
@@ -13,11 +13,20 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+#: The whole of a quota, in millionths.
 WHOLE = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaOverrun:
+    """A quota that was exceeded.
+
+    Attributes:
+        at: when.
+        budget: the name of the quota.
+        what: what was exceeded, and by how much.
+    """
+
     at: int
     budget: str
     what: str
@@ -25,156 +34,202 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanReclaim:
-    """How long after its owner's return at `at`, in microseconds; -1 where that never came."""
+    """The reclaim of a quota whose owner returned after an idle time, while some of it was lent.
+
+    Attributes:
+        at: when the owner returned.
+        budget: the name of the quota.
+        loans_over: how long after the return none of its loans was in force any more, in microseconds.
+        share_restored: how long after the return the owner's own shares were nine tenths of the whole again,
+            in microseconds; -1 if they never were.
+    """
 
     at: int
     budget: str
     loans_over: int
-    whole: int
+    share_restored: int
 
 
 @dataclass
 class AppliedQuota:
-    """`parts` of a process from `at` until `until`; from then on what it has without talk, `floor`. `loans`
-    by owner and borrower are parts of the owner's whole, from `at` until `loans_until`.
+    """The quotas in force at one process, until its next record or its end.
+
+    Attributes:
+        at: from when on they are in force.
+        shares: its shares by quota, including the guaranteed minimum.
+        shares_until: when the lease of the shares expires, and the guaranteed minimum is in force instead;
+            0 if there is no lease.
+        guaranteed_minimum: its share of each quota without a lease.
+        loans: the loans in force, by owner and borrower; in millionths of the owner's whole.
+        loans_until: when the loans expire.
     """
 
     at: int
-    parts: dict[str, int]
-    until: int
-    floor: int
+    shares: dict[str, int]
+    shares_until: int
+    guaranteed_minimum: int
     loans: dict[tuple[str, str], int] = field(default_factory=dict)
     loans_until: int = 0
 
 
 @dataclass
 class QuotaChecker:
-    rates: dict[str, tuple[float, float]]  # of each budget: tokens a second, and the burst
-    told: dict[Any, list[AppliedQuota]] = field(default_factory=lambda: defaultdict(list))
-    ended: dict[Any, int] = field(default_factory=dict)
-    spent: dict[str, list[tuple[int, int]]] = field(default_factory=lambda: defaultdict(list))
-    asked: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))  # when, of each budget
+    """Collects the records of all processes, and finds the quotas that were exceeded.
+
+    Attributes:
+        rates_and_bursts: the rate of each quota, in tokens a second, and its burst, in tokens; a rate of 0
+            for a quota whose spending is not checked.
+        quotas_by_process: what each process had in force, in the order of time.
+        ended_at: when processes were killed.
+        spent_tokens: when tokens of each quota were spent, and how many.
+        submissions: when requests of each quota were submitted.
+    """
+
+    rates_and_bursts: dict[str, tuple[float, float]]
+    quotas_by_process: dict[Any, list[AppliedQuota]] = field(default_factory=lambda: defaultdict(list))
+    ended_at: dict[Any, int] = field(default_factory=dict)
+    spent_tokens: dict[str, list[tuple[int, int]]] = field(default_factory=lambda: defaultdict(list))
+    submissions: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
 
     def in_force(
         self,
         process: Any,
         at: int,
-        parts: dict[str, int],
-        until: int,
-        floor: int,
+        shares: dict[str, int],
+        shares_until: int,
+        guaranteed_minimum: int,
         loans: dict[tuple[str, str], int] | None = None,
         loans_until: int = 0,
     ) -> None:
-        self.told[process].append(AppliedQuota(at, dict(parts), until, floor, dict(loans or {}), loans_until))
+        """Record what is in force at a process from `at` on; see `AppliedQuota`."""
+        self.quotas_by_process[process].append(
+            AppliedQuota(at, dict(shares), shares_until, guaranteed_minimum, dict(loans or {}), loans_until)
+        )
 
     def end(self, process: Any, at: int) -> None:
-        self.ended.setdefault(process, at)
+        """Record that a process ended; only its first end counts."""
+        self.ended_at.setdefault(process, at)
 
-    def spend(self, budget: str, at: int, tokens: int = 1) -> None:
-        self.spent[budget].append((at, tokens))
+    def spend(self, quota: str, at: int, tokens: int = 1) -> None:
+        """Record that tokens of a quota were spent."""
+        self.spent_tokens[quota].append((at, tokens))
 
-    def ask(self, budget: str, at: int) -> None:
-        self.asked[budget].append(at)
+    def ask(self, quota: str, at: int) -> None:
+        """Record that a request of a quota was submitted."""
+        self.submissions[quota].append(at)
 
     def overruns(self) -> list[QuotaOverrun]:
+        """Return all overruns, in the order of time."""
         found = []
-        for budget, (rate, burst) in self.rates.items():
-            found += self.sums(budget)
+        for quota, (rate, burst) in self.rates_and_bursts.items():
+            found += self.find_share_overruns(quota)
             if rate:
-                found += self.flow(budget, rate, burst)
-        found += self.passed_on()
-        return sorted(found, key=lambda one: one.at)
+                found += self.find_rate_overruns(quota, rate, burst)
+        found += self.find_loans_passed_on()
+        return sorted(found, key=lambda overrun: overrun.at)
 
-    def stretches(self) -> Iterator[tuple[AppliedQuota, int]]:
-        """What each process told, and when it told something else or ended."""
-        for process, row in self.told.items():
-            end = self.ended.get(process, 1 << 62)
-            for place, one in enumerate(row):
-                yield one, min(row[place + 1].at if place + 1 < len(row) else 1 << 62, end)
+    def quota_periods(self) -> Iterator[tuple[AppliedQuota, int]]:
+        """Yield each record of each process, and when the process had its next one or ended."""
+        for process, quotas in self.quotas_by_process.items():
+            end = self.ended_at.get(process, 1 << 62)
+            for index, applied in enumerate(quotas):
+                yield applied, min(quotas[index + 1].at if index + 1 < len(quotas) else 1 << 62, end)
 
     def lent(self) -> Iterator[tuple[int, int, str, str, int]]:
-        """Each loan: from when, until when, whose, to whom, how much."""
-        for one, last in self.stretches():
-            over = min(one.loans_until, last)
-            for (owner, borrower), part in one.loans.items():
-                if one.at < over and part:
-                    yield one.at, over, owner, borrower, part
-
-    def changes(self, budget: str) -> list[tuple[int, int]]:
-        """When parts begin and end, with floors, and by how much each changes the sum."""
+        """Yield each loan: from when and until when it was in force, owner, borrower, and share."""
+        for applied, end in self.quota_periods():
+            ends_at = min(applied.loans_until, end)
+            for (owner, borrower), share in applied.loans.items():
+                if applied.at < ends_at and share:
+                    yield applied.at, ends_at, owner, borrower, share
+
+    def share_changes(self, quota: str) -> list[tuple[int, int]]:
+        """Return when shares and guaranteed minimums begin and end, and by how much each changes the sum."""
         changes: list[tuple[int, int]] = []
-        for one, last in self.stretches():
-            until = min(max(one.until, one.at), last) if one.until else one.at
-            for begin, over, part in ((one.at, until, one.parts.get(budget, 0)), (until, last, one.floor)):
-                if begin < over:
-                    changes += [(begin, part), (over, -part)]
+        for applied, end in self.quota_periods():
+            shares_until = (
+                min(max(applied.shares_until, applied.at), end) if applied.shares_until else applied.at
+            )
+            for begins_at, ends_at, share in (
+                (applied.at, shares_until, applied.shares.get(quota, 0)),
+                (shares_until, end, applied.guaranteed_minimum),
+            ):
+                if begins_at < ends_at:
+                    changes += [(begins_at, share), (ends_at, -share)]
         return changes
 
-    def sums(self, budget: str) -> list[QuotaOverrun]:
-        """Adds up all that changes, in order; at one instant what ends goes before what begins."""
-        changes = self.changes(budget)
-        for begin, over, owner, _, part in self.lent():
-            if owner == budget:
-                changes += [(begin, part), (over, -part)]
+    def find_share_overruns(self, quota: str) -> list[QuotaOverrun]:
+        """Find when the shares and loans in force exceed the whole.
+
+        Of the changes at one instant, those that end something are counted before those that begin something.
+        """
+        changes = self.share_changes(quota)
+        for begins_at, ends_at, owner, _, share in self.lent():
+            if owner == quota:
+                changes += [(begins_at, share), (ends_at, -share)]
         total, found = 0, []
-        for at, by in sorted(changes):
-            total += by
-            if total > WHOLE and by > 0:
-                found.append(QuotaOverrun(at, budget, f"{total} millionths in force"))
+        for at, difference in sorted(changes):
+            total += difference
+            if total > WHOLE and difference > 0:
+                found.append(QuotaOverrun(at, quota, f"{total} millionths in force"))
         return found
 
-    def passed_on(self) -> list[QuotaOverrun]:
-        """Nobody has a loan in force while another has one of it: that would hand on what is borrowed."""
+    def find_loans_passed_on(self) -> list[QuotaOverrun]:
+        """Find quotas that lend and borrow at the same time, which would pass on what was borrowed."""
         changes = []
-        for begin, over, owner, borrower, _ in self.lent():
-            changes += [(begin, 1, owner, borrower), (over, 0, owner, borrower)]
-        lends: Counter[str] = Counter()
-        borrows: Counter[str] = Counter()
+        for begins_at, ends_at, owner, borrower, _ in self.lent():
+            changes += [(begins_at, 1, owner, borrower), (ends_at, 0, owner, borrower)]
+        loans_by_owner: Counter[str] = Counter()
+        loans_by_borrower: Counter[str] = Counter()
         found = []
         for at, begins, owner, borrower in sorted(changes):
-            by = 1 if begins else -1
-            lends[owner] += by
-            borrows[borrower] += by
-            if begins and (borrows[owner] or lends[borrower]):
+            difference = 1 if begins else -1
+            loans_by_owner[owner] += difference
+            loans_by_borrower[borrower] += difference
+            if begins and (loans_by_borrower[owner] or loans_by_owner[borrower]):
                 found.append(
                     QuotaOverrun(at, owner, f"lent to {borrower}, and one of both lends and borrows")
                 )
         return found
 
-    def flow(self, budget: str, rate: float, burst: float) -> list[QuotaOverrun]:
-        """A bucket of the whole, filled at the whole rate by the shared clock, must never run dry."""
-        level, last, found = burst, None, []
-        for at, tokens in sorted(self.spent[budget]):
-            if last is not None:
-                level = min(burst, level + (at - last) * rate / 1e6)
-            last, level = at, level - tokens
+    def find_rate_overruns(self, quota: str, rate: float, burst: float) -> list[QuotaOverrun]:
+        """Find when a token bucket of the whole quota, filled by the shared clock, would run empty."""
+        level, filled_at, found = burst, None, []
+        for at, tokens in sorted(self.spent_tokens[quota]):
+            if filled_at is not None:
+                level = min(burst, level + (at - filled_at) * rate / 1e6)
+            filled_at, level = at, level - tokens
             if level < -1e-6:
-                found.append(QuotaOverrun(at, budget, f"{-level:.3f} tokens over rate and burst"))
+                found.append(QuotaOverrun(at, quota, f"{-level:.3f} tokens over rate and burst"))
         return found
 
-    def reclaims(self, quiet: int) -> list[LoanReclaim]:
-        """Each return of an owner after so long without a submission, while something of it was lent: how
-        long until none of its loans was in force, and until its own parts were nine tenths of its whole.
-        """
+    def reclaims(self, idle_time: int) -> list[LoanReclaim]:
+        """Return each return of an owner after `idle_time` or more without a submission, while it lent."""
         found = []
-        for budget, times in self.asked.items():
-            loans = [(begin, over) for begin, over, owner, _, _ in self.lent() if owner == budget]
-            own = self.own(budget)
-            for before, at in zip(times, times[1:], strict=False):
-                if at - before < quiet or not any(begin <= at < over for begin, over in loans):
+        for quota, times in self.submissions.items():
+            loans = [
+                (begins_at, ends_at) for begins_at, ends_at, owner, _, _ in self.lent() if owner == quota
+            ]
+            totals = self.own_share_totals(quota)
+            for previous, at in zip(times, times[1:], strict=False):
+                if at - previous < idle_time or not any(
+                    begins_at <= at < ends_at for begins_at, ends_at in loans
+                ):
                     continue
-                free = at
-                for begin, over in sorted(loans):
-                    if begin <= free < over or begin < at < over:
-                        free = max(free, over)
-                whole = next((when for when, sum_ in own if when >= at and sum_ >= WHOLE * 9 // 10), 0)
-                found.append(LoanReclaim(at, budget, free - at, whole - at if whole else -1))
-        return sorted(found, key=lambda one: one.at)
-
-    def own(self, budget: str) -> list[tuple[int, int]]:
-        """The sum of the parts in force, without loans, from each moment on at which it changes."""
-        total, sums = 0, list[tuple[int, int]]()
-        for at, by in sorted(self.changes(budget)):
-            total += by
-            sums.append((at, total))
-        return sums
+                loans_over = at
+                for begins_at, ends_at in sorted(loans):
+                    if begins_at <= loans_over < ends_at or begins_at < at < ends_at:
+                        loans_over = max(loans_over, ends_at)
+                restored_at = next(
+                    (time for time, total in totals if time >= at and total >= WHOLE * 9 // 10), 0
+                )
+                found.append(LoanReclaim(at, quota, loans_over - at, restored_at - at if restored_at else -1))
+        return sorted(found, key=lambda reclaim: reclaim.at)
+
+    def own_share_totals(self, quota: str) -> list[tuple[int, int]]:
+        """Return the sum of the shares in force, without loans, from each moment at which it changes."""
+        total, totals = 0, list[tuple[int, int]]()
+        for at, difference in sorted(self.share_changes(quota)):
+            total += difference
+            totals.append((at, total))
+        return totals
--- a/locktide/simulation/cluster/virtual_cluster.py
+++ b/locktide/simulation/cluster/virtual_cluster.py
@@ -1,8 +1,9 @@
-"""Many members of the accord in virtual time, with a network that does all that networks do.
+"""Cluster members in virtual time, on an emulated network that loses, delays, doubles and damages datagrams.
 
-Bytes go through `pack` and `unpack`, so that what is cut short or garbled is met as it would be. Each process
-has a clock of its own, off in rate by the stated bound and in value by anything. The same seed gives the same
-day.
+Messages are encoded and decoded, so that truncated and garbled datagrams are handled as on a real network.
+Each process has its own clock: its rate is off by nearly `MAX_CLOCK_DRIFT`, its value by a random amount. The
+same seed gives the same run. Times are whole microseconds of the clock that all processes share, unless they
+are said to be of the clock of a process.
 """
 
 from __future__ import annotations
@@ -22,205 +23,302 @@
 from locktide.simulation.cluster.quota_checker import QuotaChecker
 
 Address = tuple[str, int]
+#: Unix time at which each run begins, in microseconds; generations of processes are counted from it.
 EPOCH = 1_800_000_000_000_000
-HELD_BACK = 200  # datagrams that a kernel keeps for a process that stands still
+#: How many datagrams the kernel's receive buffer holds for a paused process; later ones are dropped.
+MAX_HELD_DATAGRAMS = 200
 
 
 @dataclass
 class ClusterNetwork:
-    """Odds for each datagram, and delays in microseconds."""
+    """Faults of the network.
+
+    Attributes:
+        lose: probability that a datagram is lost.
+        double: probability that a datagram is delivered twice.
+        garble: probability that one bit of a datagram is flipped.
+        truncate: probability that the end of a datagram is cut off.
+        min_delay: the shortest delay, in microseconds.
+        max_delay: the longest delay of a datagram that is not late, in microseconds.
+        late: probability of a delay of up to two seconds.
+        cut: pairs of sender and receiver, by name, between which nothing is delivered in that direction.
+    """
 
     lose: float = 0.0
     double: float = 0.0
     garble: float = 0.0
     truncate: float = 0.0
-    least: int = 300
-    most: int = 3_000
-    late: float = 0.0  # the odds of a delay of up to two seconds
-    cut: set[tuple[str, str]] = field(default_factory=set)  # one way each, by name
+    min_delay: int = 300
+    max_delay: int = 3_000
+    late: float = 0.0
+    cut: set[tuple[str, str]] = field(default_factory=set)
 
 
 class VirtualMember:
-    def __init__(self, world: VirtualCluster, name: str, port: int, skew: float) -> None:
-        self.world, self.name, self.address = world, name, ("10.0.0.1", port)
-        self.rate = 1.0 + skew
-        self.offset = world.random.randrange(10**12)
-        self.begun = world.now
+    """One process of a member in virtual time.
+
+    Attributes:
+        cluster: the cluster that it belongs to.
+        name: the name of the member.
+        address: host and port at which the process receives datagrams.
+        clock_rate: the rate of its clock, as a multiple of that of the shared clock.
+        clock_offset: what its clock showed at its start, in microseconds.
+        started_at: when the process started, on the shared clock.
+        alive: whether the process has not been killed.
+        paused: whether the process is stopped, as by SIGSTOP.
+        held_datagrams: datagrams that arrived while it was paused.
+        generation: the generation of the process.
+        member: the cluster member under test.
+        process_key: identifies the process at the checker.
+        spent_tokens: tokens that it has spent.
+        borrowed_tokens: those of them that came out of a loan.
+        latest_wakeup: the number of the tick that was scheduled last.
+    """
+
+    def __init__(self, cluster: VirtualCluster, name: str, port: int, clock_drift: float) -> None:
+        self.cluster, self.name, self.address = cluster, name, ("10.0.0.1", port)
+        self.clock_rate = 1.0 + clock_drift
+        self.clock_offset = cluster.random.randrange(10**12)
+        self.started_at = cluster.now
         self.alive, self.paused = True, False
-        self.waiting: list[bytes] = []
-        self.start = EPOCH + world.now + world.random.randrange(1000)
-        self.agent = world.make(self)
-        self.key = (name, self.start, port)
-        self.spent = self.borrowed = self.woken = 0
-        self.log()
-        self.wake()
+        self.held_datagrams: list[bytes] = []
+        self.generation = EPOCH + cluster.now + cluster.random.randrange(1000)
+        self.member = cluster.make_member(self)
+        self.process_key = (name, self.generation, port)
+        self.spent_tokens = self.borrowed_tokens = self.latest_wakeup = 0
+        self.record_quota()
+        self.schedule_tick()
 
     def clock(self) -> int:
-        return self.offset + int((self.world.now - self.begun) * self.rate)
-
-    def shared(self, local: int) -> int:
-        """That moment of its clock on the clock that all share, rounded up."""
-        return self.begun + -int(-(local - self.offset) // self.rate)
-
-    def log(self) -> None:
-        purse = self.agent.local_quota
-        until = self.shared(purse.shares_until) if purse.shares_until else 0
-        lent = self.shared(purse.loans_until) if purse.loans_until else 0
-        self.world.meter.in_force(
-            self.key, self.world.now, purse.shares, until, purse.guaranteed_minimum, purse.loans, lent
+        """Return the time by the clock of the process."""
+        return self.clock_offset + int((self.cluster.now - self.started_at) * self.clock_rate)
+
+    def to_shared_clock(self, local_time: int) -> int:
+        """Convert a time of the clock of the process to the shared clock, rounded up."""
+        return self.started_at + -int(-(local_time - self.clock_offset) // self.clock_rate)
+
+    def record_quota(self) -> None:
+        """Report to the checker what is in force at this process from now on."""
+        quota = self.member.local_quota
+        shares_until = self.to_shared_clock(quota.shares_until) if quota.shares_until else 0
+        loans_until = self.to_shared_clock(quota.loans_until) if quota.loans_until else 0
+        self.cluster.checker.in_force(
+            self.process_key,
+            self.cluster.now,
+            quota.shares,
+            shares_until,
+            quota.guaranteed_minimum,
+            quota.loans,
+            loans_until,
         )
 
-    def wake(self) -> None:
-        self.woken += 1  # of all that were set only the last counts
-        self.world.at(max(self.world.now + 1, self.shared(self.agent.next_wakeup)), self.tick, self.woken)
+    def schedule_tick(self) -> None:
+        """Schedule a tick at the next wakeup of the member."""
+        self.latest_wakeup += 1  # `tick` ignores those that were scheduled before
+        self.cluster.call_at(
+            max(self.cluster.now + 1, self.to_shared_clock(self.member.next_wakeup)),
+            self.tick,
+            self.latest_wakeup,
+        )
 
-    def tick(self, woken: int = 0) -> None:
-        if not self.alive or self.paused or woken != self.woken:
+    def tick(self, wakeup_number: int = 0) -> None:
+        """Let the member do what is due, unless a later tick has been scheduled since."""
+        if not self.alive or self.paused or wakeup_number != self.latest_wakeup:
             return
-        if self.clock() >= self.agent.next_wakeup:
-            self.done(self.agent.tick(self.clock()))
-        self.wake()
+        if self.clock() >= self.member.next_wakeup:
+            self.handle_output(self.member.tick(self.clock()))
+        self.schedule_tick()
 
-    def hear(self, datagram: bytes) -> None:
+    def receive(self, datagram: bytes) -> None:
+        """Handle a datagram; hold it back while the process is paused."""
         if not self.alive:
             return
         if self.paused:
-            self.waiting = [*self.waiting, datagram][:HELD_BACK]
+            self.held_datagrams = [*self.held_datagrams, datagram][:MAX_HELD_DATAGRAMS]
             return
-        said = decode(datagram)
-        if said is not None:
-            self.done(self.agent.handle(said, self.clock()))
-            self.wake()
-
-    def done(self, sends: list[Any]) -> None:
-        for address, word in sends:
-            self.world.send(self, address, encode((self.name, self.start), word))
-        if self.agent.update.quotas_changed or self.agent.update.leases_renewed:
-            self.log()
-        self.world.events += [
-            (self.world.now, self.name, event.kind, event.record) for event in self.agent.update.events
+        envelope = decode(datagram)
+        if envelope is not None:
+            self.handle_output(self.member.handle(envelope, self.clock()))
+            self.schedule_tick()
+
+    def handle_output(self, outgoing: list[Any]) -> None:
+        """Send the messages that the member returned, and record the changes of its last call."""
+        for address, message in outgoing:
+            self.cluster.send(self, address, encode((self.name, self.generation), message))
+        if self.member.update.quotas_changed or self.member.update.leases_renewed:
+            self.record_quota()
+        self.cluster.events += [
+            (self.cluster.now, self.name, event.kind, event.record) for event in self.member.update.events
         ]
 
-    def spend(self, budget: str) -> bool:
+    def spend(self, quota: str) -> bool:
+        """Submit a request of that quota; return whether there was a token for it."""
         if not self.alive or self.paused:
             return False
-        if self.agent.local_quota.expire(self.clock()):
-            self.log()
-        self.world.meter.ask(budget, self.world.now)
-        due, of = self.agent.next_wakeup, self.agent.spend(budget, self.clock())
-        if self.agent.next_wakeup < due:
-            self.wake()
-        if of is None:
+        if self.member.local_quota.expire(self.clock()):
+            self.record_quota()
+        self.cluster.checker.ask(quota, self.cluster.now)
+        previous_wakeup, source = self.member.next_wakeup, self.member.spend(quota, self.clock())
+        if self.member.next_wakeup < previous_wakeup:
+            self.schedule_tick()
+        if source is None:
             return False
-        self.spent += 1
-        self.borrowed += of != budget
-        self.world.meter.spend(of, self.world.now)
+        self.spent_tokens += 1
+        self.borrowed_tokens += source != quota
+        self.cluster.checker.spend(source, self.cluster.now)
         return True
 
-    # --- what is done to it
+    # --- faults
 
     def pause(self) -> None:
         self.paused = True
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
+        """End a pause: handle the datagrams that were held back, and tick again."""
         self.paused = False
-        waiting, self.waiting = self.waiting, []
-        for datagram in waiting:
-            self.hear(datagram)
-        self.wake()
+        held_datagrams, self.held_datagrams = self.held_datagrams, []
+        for datagram in held_datagrams:
+            self.receive(datagram)
+        self.schedule_tick()
 
     def kill(self) -> None:
         self.alive = False
-        self.world.meter.end(self.key, self.world.now)
+        self.cluster.checker.end(self.process_key, self.cluster.now)
 
     def leave(self) -> None:
+        """Stop the process cleanly: it notifies the other members."""
         if self.alive and not self.paused:
-            self.done(self.agent.leave(self.clock()))
+            self.handle_output(self.member.leave(self.clock()))
             self.kill()
 
 
 class VirtualCluster:
+    """A cluster in virtual time, with its network and the checker of its quotas.
+
+    Attributes:
+        random: the source of all random draws.
+        now: the time on the shared clock.
+        scheduled_count: how many calls have been scheduled; orders those of the same time.
+        event_queue: heap of the scheduled calls: time, number, callback and its arguments.
+        names: the names of the members, in the order of their ports from 9000 on.
+        quotas: the quotas that the members divide.
+        reserved_fraction: fraction of each quota that is spread evenly as guaranteed minimums.
+        member_factory: makes a member from its configuration and the time.
+        max_members: how many processes may run at once.
+        acceptors: the addresses of the acceptors by name.
+        network: the faults of the network at present.
+        has_clock_drift: whether the clocks of processes differ in rate.
+        lendable_fraction: fraction of the idle part of a quota that may be lent.
+        fairness: configuration of the fairness ledger; None for no ledger.
+        checker: checks the quotas that are in force and spent.
+        events: membership events: time, member that reported it, kind and record.
+        processes_by_address: the latest process at each address.
+        processes: all processes that were started, in that order.
+        sent_datagrams: how many datagrams were sent.
+        sent_bytes: their total size.
+    """
+
     def __init__(
         self,
         seed: int,
         names: list[str],
-        electors: int = 3,
-        most: int = 0,
-        reserve: float = 0.15,
-        budgets: tuple[QuotaSpec, ...] = (QuotaSpec("dairy", 60.0, 60.0), QuotaSpec("cold")),
-        skewed: bool = True,
-        of: Callable[[ClusterConfig, int], ClusterMember] = ClusterMember,
-        lend: float = 0.0,
-        ledger: FairnessConfig | None = None,
+        acceptor_count: int = 3,
+        max_members: int = 0,
+        reserved_fraction: float = 0.15,
+        quotas: tuple[QuotaSpec, ...] = (QuotaSpec("dairy", 60.0, 60.0), QuotaSpec("cold")),
+        has_clock_drift: bool = True,
+        member_factory: Callable[[ClusterConfig, int], ClusterMember] = ClusterMember,
+        lendable_fraction: float = 0.0,
+        fairness: FairnessConfig | None = None,
     ) -> None:
-        self.random, self.now, self.made = Random(seed), 0, 0
-        self.queue: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self.names, self.budgets, self.reserve, self.of = names, list(budgets), reserve, of
-        self.most = most or len(names) + 2
-        self.electors = {name: ("10.0.0.1", 9000 + place) for place, name in enumerate(names[:electors])}
-        self.net, self.skewed, self.lend, self.ledger = ClusterNetwork(), skewed, lend, ledger
-        self.meter = QuotaChecker({budget.name: (budget.rate, budget.burst) for budget in budgets})
+        self.random, self.now, self.scheduled_count = Random(seed), 0, 0
+        self.event_queue: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
+        self.names, self.quotas, self.reserved_fraction, self.member_factory = (
+            names,
+            list(quotas),
+            reserved_fraction,
+            member_factory,
+        )
+        self.max_members = max_members or len(names) + 2
+        self.acceptors = {
+            name: ("10.0.0.1", 9000 + index) for index, name in enumerate(names[:acceptor_count])
+        }
+        self.network, self.has_clock_drift, self.lendable_fraction, self.fairness = (
+            ClusterNetwork(),
+            has_clock_drift,
+            lendable_fraction,
+            fairness,
+        )
+        self.checker = QuotaChecker({spec.name: (spec.rate, spec.burst) for spec in quotas})
         self.events: list[tuple[int, str, str, Any]] = []
-        self.bound: dict[Address, VirtualMember] = {}
-        self.all: list[VirtualMember] = []
-        self.sent = self.bytes = 0
-
-    def make(self, process: VirtualMember) -> ClusterMember:
-        seeds = list(self.electors.values())
-        terms = ClusterConfig(
-            (process.name, process.start),
+        self.processes_by_address: dict[Address, VirtualMember] = {}
+        self.processes: list[VirtualMember] = []
+        self.sent_datagrams = self.sent_bytes = 0
+
+    def make_member(self, process: VirtualMember) -> ClusterMember:
+        """Make the cluster member of a process."""
+        seeds = list(self.acceptors.values())
+        config = ClusterConfig(
+            (process.name, process.generation),
             process.address,
-            self.electors,
+            self.acceptors,
             seeds,
-            self.budgets,
-            self.reserve,
-            self.most,
+            self.quotas,
+            self.reserved_fraction,
+            self.max_members,
             self.random.randrange(1 << 60),
-            self.lend,
-            self.ledger,
+            self.lendable_fraction,
+            self.fairness,
+        )
+        return self.member_factory(config, process.clock())
+
+    def start(self, name: str, port: int = 0) -> VirtualMember:
+        """Start a process of that name; `port` is for a second process while the first may still run."""
+        clock_drift = (
+            self.random.choice((-1, 1)) * MAX_CLOCK_DRIFT / 1e6 * 0.99 if self.has_clock_drift else 0.0
         )
-        return self.of(terms, process.clock())
-
-    def begin(self, name: str, port: int = 0) -> VirtualMember:
-        """Starts a process of that name; at a port of its own where one of that name may still run."""
-        skew = self.random.choice((-1, 1)) * MAX_CLOCK_DRIFT / 1e6 * 0.99 if self.skewed else 0.0
-        process = VirtualMember(self, name, port or 9000 + self.names.index(name), skew)
-        self.bound[process.address] = process
-        self.all.append(process)
+        process = VirtualMember(self, name, port or 9000 + self.names.index(name), clock_drift)
+        self.processes_by_address[process.address] = process
+        self.processes.append(process)
         return process
 
-    def live(self, name: str) -> VirtualMember | None:
-        process = self.bound.get(("10.0.0.1", 9000 + self.names.index(name)))
+    def live_process(self, name: str) -> VirtualMember | None:
+        """Return the process at the usual address of that name; None if it is not alive."""
+        process = self.processes_by_address.get(("10.0.0.1", 9000 + self.names.index(name)))
         return process if process is not None and process.alive else None
 
-    def at(self, when: int, what: Callable[..., Any], *args: Any) -> None:
-        self.made += 1
-        heapq.heappush(self.queue, (when, self.made, what, args))
+    def call_at(self, time: int, callback: Callable[..., Any], *args: Any) -> None:
+        """Schedule a call; those of the same time are made in the order in which they were scheduled."""
+        self.scheduled_count += 1
+        heapq.heappush(self.event_queue, (time, self.scheduled_count, callback, args))
 
     def run(self, until: int) -> None:
-        while self.queue and self.queue[0][0] <= until:
-            self.now, _, what, args = heapq.heappop(self.queue)
-            what(*args)
+        """Make all calls that are due until then, and advance the time to it."""
+        while self.event_queue and self.event_queue[0][0] <= until:
+            self.now, _, callback, args = heapq.heappop(self.event_queue)
+            callback(*args)
         self.now = until
 
     def send(self, sender: VirtualMember, address: Address, datagram: bytes) -> None:
-        net, draw = self.net, self.random.random
-        self.sent, self.bytes = self.sent + 1, self.bytes + len(datagram)
-        target = self.bound.get(address)
-        if target is None or (sender.name, target.name) in net.cut or draw() < net.lose:
+        """Send a datagram through the network with its faults."""
+        network, draw = self.network, self.random.random
+        self.sent_datagrams, self.sent_bytes = self.sent_datagrams + 1, self.sent_bytes + len(datagram)
+        target = self.processes_by_address.get(address)
+        if target is None or (sender.name, target.name) in network.cut or draw() < network.lose:
             return
-        if draw() < net.garble:
-            place = self.random.randrange(len(datagram))
-            changed = datagram[place] ^ 1 << self.random.randrange(8)
-            datagram = datagram[:place] + bytes([changed]) + datagram[place + 1 :]
-        if draw() < net.truncate:
+        if draw() < network.garble:
+            position = self.random.randrange(len(datagram))
+            changed = datagram[position] ^ 1 << self.random.randrange(8)
+            datagram = datagram[:position] + bytes([changed]) + datagram[position + 1 :]
+        if draw() < network.truncate:
             datagram = datagram[: self.random.randrange(len(datagram))]
-        for _ in range(2 if draw() < net.double else 1):
-            delay = self.random.randint(net.least, net.most)
-            if draw() < net.late:
+        for _ in range(2 if draw() < network.double else 1):
+            delay = self.random.randint(network.min_delay, network.max_delay)
+            if draw() < network.late:
                 delay = self.random.randint(0, 2_000_000)
-            self.at(self.now + delay, self.arrive, address, datagram)
+            self.call_at(self.now + delay, self.deliver, address, datagram)
 
-    def arrive(self, address: Address, datagram: bytes) -> None:
-        if (target := self.bound.get(address)) is not None:
-            target.hear(datagram)
+    def deliver(self, address: Address, datagram: bytes) -> None:
+        """Hand a datagram to the process that has the address by now, if there is one."""
+        if (target := self.processes_by_address.get(address)) is not None:
+            target.receive(datagram)
--- a/tests/cluster/test_borrowing.py
+++ b/tests/cluster/test_borrowing.py
@@ -102,38 +102,36 @@
 # --- many members
 
 
-@pytest.mark.parametrize(
-    "fault", [fault for fault in borrowing_runs.TROUBLES if fault != "who divides killed"]
-)
+@pytest.mark.parametrize("fault", [fault for fault in borrowing_runs.FAULTS if fault != "who divides killed"])
 def test_returning_lender_has_its_whole_again_within_a_second(fault: str) -> None:
-    result = borrowing_runs.returns(2, fault)
+    result = borrowing_runs.measure_reclaims(2, fault)
     assert not result.overruns and len(result.reclaims) == 3
     assert all(reclaim.loans_over <= SECOND for reclaim in result.reclaims)
-    assert all(0 <= reclaim.whole <= SECOND for reclaim in result.reclaims)
-    assert result.after > 0.85
+    assert all(0 <= reclaim.share_restored <= SECOND for reclaim in result.reclaims)
+    assert result.served_after_return > 0.85
 
 
 def test_loans_end_within_a_second_when_no_leader_is_left_to_revoke_them() -> None:
-    result = borrowing_runs.returns(2, "who divides killed")
+    result = borrowing_runs.measure_reclaims(2, "who divides killed")
     assert not result.overruns and result.reclaims[0].loans_over <= SECOND
 
 
 def test_lending_serves_more_requests_and_overruns_nothing() -> None:
-    without, lending = borrowing_runs.worth(2, 0.0), borrowing_runs.worth(2, 0.8)
+    without, lending = borrowing_runs.measure_service(2, 0.0), borrowing_runs.measure_service(2, 0.8)
     assert not lending.overruns and lending.served > without.served + 0.3
 
 
-def cluster_with(budgets: tuple[QuotaSpec, ...]) -> VirtualCluster:
-    cluster = VirtualCluster(3, ["d0", "d1", "d2"], 3, 4, budgets=budgets, lend=0.8)
+def cluster_with(quotas: tuple[QuotaSpec, ...]) -> VirtualCluster:
+    cluster = VirtualCluster(3, ["d0", "d1", "d2"], 3, 4, quotas=quotas, lendable_fraction=0.8)
     for name in cluster.names:
-        cluster.begin(name)
+        cluster.start(name)
     return cluster
 
 
 def run_with_busy_demand(cluster: VirtualCluster, until: int) -> None:
     while cluster.now < until:
         cluster.run(cluster.now + 20_000)
-        for process in cluster.all:
+        for process in cluster.processes:
             for _ in range(3):
                 process.spend("busy")
 
@@ -149,9 +147,11 @@
         )
     )
     run_with_busy_demand(cluster, 14 * SECOND)
-    reports = [report for process_reports in cluster.meter.told.values() for report in process_reports]
+    reports = [
+        report for process_reports in cluster.checker.quotas_by_process.values() for report in process_reports
+    ]
     lenders = {names[0] for report in reports for names in report.loans}
-    assert lenders == {"idle"} and not cluster.meter.overruns()
+    assert lenders == {"idle"} and not cluster.checker.overruns()
 
 
 @pytest.mark.parametrize("late", [0, 1, 10 * SECOND])
@@ -189,20 +189,20 @@
     run_with_busy_demand(cluster, 14 * SECOND)
     borrower = next(
         process
-        for process in cluster.all
-        if process.agent.local_quota.loans and process.agent.allocator is None
+        for process in cluster.processes
+        if process.member.local_quota.loans and process.member.allocator is None
     )
-    quota = borrower.agent.local_quota
+    quota = borrower.member.local_quota
     borrower.pause()
     while borrower.clock() < quota.loans_until - 20_000:
         cluster.run(cluster.now + 10_000)
     assert "idle" in {
-        borrower.agent.spend("busy", borrower.clock()) for _ in range(12)
+        borrower.member.spend("busy", borrower.clock()) for _ in range(12)
     }, "the loan is in force"
     while borrower.clock() < quota.loans_until:
         cluster.run(cluster.now + 10_000)
     assert quota.loans, "nothing has reached it that could have ended the loan"
-    sources = {borrower.agent.spend("busy", borrower.clock()) for _ in range(50)}
+    sources = {borrower.member.spend("busy", borrower.clock()) for _ in range(50)}
     assert sources <= {"busy", None}
     assert not quota.loans
 
@@ -248,17 +248,17 @@
     run_with_busy_demand(cluster, 14 * SECOND)
     borrower = next(
         process
-        for process in cluster.all
-        if process.agent.local_quota.loans and process.agent.allocator is None
+        for process in cluster.processes
+        if process.member.local_quota.loans and process.member.allocator is None
     )
-    cluster.net.cut = {
+    cluster.network.cut = {
         link for name in cluster.names for link in ((borrower.name, name), (name, borrower.name))
     }
-    returning = next(process for process in cluster.all if process is not borrower)
+    returning = next(process for process in cluster.processes if process is not borrower)
     for _ in range(200):
         cluster.run(cluster.now + 20_000)
         returning.spend("idle")
-    assert bool(cluster.meter.overruns()) == bool(fault)
+    assert bool(cluster.checker.overruns()) == bool(fault)
 
 
 def test_checker_measures_how_long_a_reclaim_takes() -> None:
@@ -269,5 +269,5 @@
     checker.in_force("a", 5 * SECOND + 300, {"x": 200_000}, 10**9, 0)
     checker.in_force("a", 5 * SECOND + 900, {"x": 950_000}, 10**9, 0)
     reclaims = checker.reclaims(3 * SECOND)
-    assert [(reclaim.loans_over, reclaim.whole) for reclaim in reclaims] == [(300, 900)]
+    assert [(reclaim.loans_over, reclaim.share_restored) for reclaim in reclaims] == [(300, 900)]
     assert not checker.reclaims(6 * SECOND) and not checker.overruns()
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -13,8 +13,8 @@
 
 def leaders(cluster: VirtualCluster) -> int:
     return sum(
-        process.agent.election is not None and process.agent.election.proposer.is_leader(process.clock())
-        for process in cluster.all
+        process.member.election is not None and process.member.election.proposer.is_leader(process.clock())
+        for process in cluster.processes
         if process.alive
     )
 
@@ -35,16 +35,16 @@
     moments_with_two_leaders = 0
     for seed in range(6):
         cluster = settled_cluster(seed, 3)
-        leader = next(process for process in cluster.all if process.agent.allocator is not None)
-        first, second = (process for process in cluster.all if process is not leader)
+        leader = next(process for process in cluster.processes if process.member.allocator is not None)
+        first, second = (process for process in cluster.processes if process is not leader)
         pair = {(leader.name, second.name), (second.name, leader.name)}
-        cluster.net.cut = set(pair)
+        cluster.network.cut = set(pair)
         cluster.run(cluster.now + SECOND)
         first.kill()
-        cluster.begin(first.name)
-        cluster.net.cut = pair | {(leader.name, first.name), (first.name, leader.name)}
+        cluster.start(first.name)
+        cluster.network.cut = pair | {(leader.name, first.name), (first.name, leader.name)}
         for _ in range(300):
             cluster.run(cluster.now + 10_000)
             moments_with_two_leaders += leaders(cluster) > 1
-        assert not cluster.meter.overruns(), "a new leader waits out what the other one granted, besides"
+        assert not cluster.checker.overruns(), "a new leader waits out what the other one granted, besides"
     assert bool(moments_with_two_leaders) == eager
--- a/tests/cluster/test_failure_detection.py
+++ b/tests/cluster/test_failure_detection.py
@@ -35,39 +35,39 @@
     must not outlive it: the later process has another generation and has to be alive for everybody.
     """
     cluster = settled_cluster()
-    killed, leaving = cluster.all[1], cluster.all[2]
+    killed, leaving = cluster.processes[1], cluster.processes[2]
     killed.kill()
     leaving.leave()
     cluster.run(9 * SECOND)
-    assert all("d2" not in live_member(cluster, name).agent.swim.alive() for name in ("d0", "d3", "d4"))
+    assert all("d2" not in live_member(cluster, name).member.swim.alive() for name in ("d0", "d3", "d4"))
     cluster.run(20 * SECOND)
     for name in ("d0", "d3", "d4"):
-        assert live_member(cluster, name).agent.swim.alive() == ["d0", "d3", "d4"]
-    cluster.begin("d1")
+        assert live_member(cluster, name).member.swim.alive() == ["d0", "d3", "d4"]
+    cluster.start("d1")
     cluster.run(23 * SECOND)
-    assert live_member(cluster, "d4").agent.swim.alive() == ["d0", "d1", "d3", "d4"]
+    assert live_member(cluster, "d4").member.swim.alive() == ["d0", "d1", "d3", "d4"]
 
 
 def test_a_member_that_was_paused_refutes_its_suspicion_and_declares_nobody_dead() -> None:
     cluster = settled_cluster()
-    slow = cluster.all[0]
+    slow = cluster.processes[0]
     slow.pause()
     cluster.run(11 * SECOND)
-    slow.go_on()
+    slow.resume()
     cluster.run(20 * SECOND)
-    assert slow.agent.swim.view.own_record.incarnation > 0, "it was suspected"
-    assert all(len(process.agent.swim.alive()) == 5 for process in cluster.all)
+    assert slow.member.swim.view.own_record.incarnation > 0, "it was suspected"
+    assert all(len(process.member.swim.alive()) == 5 for process in cluster.processes)
     assert not [kind for _, _, kind, _ in cluster.events if kind == "dead"]
 
 
 def test_of_two_processes_with_one_name_the_earlier_steps_down() -> None:
     cluster = settled_cluster()
-    cluster.begin("d3", 9500)
+    cluster.start("d3", 9500)
     cluster.run(11 * SECOND)
-    assert cluster.all[3].agent.stepped_down and not cluster.all[5].agent.stepped_down
-    assert cluster.all[3].agent.local_quota.shares == {"dairy": 0, "cold": 0}
+    assert cluster.processes[3].member.stepped_down and not cluster.processes[5].member.stepped_down
+    assert cluster.processes[3].member.local_quota.shares == {"dairy": 0, "cold": 0}
     assert [name for _, name, kind, _ in cluster.events if kind == "superseded"] == ["d3"]
-    assert not cluster.meter.overruns()
+    assert not cluster.checker.overruns()
 
 
 def test_a_member_that_has_stepped_down_is_not_woken_for_what_it_no_longer_does() -> None:
@@ -77,14 +77,14 @@
     the time was always past, and the process took a whole core. What a member that has stepped down no longer
     does must not wake it.
     """
-    cluster = VirtualCluster(3, ["d0", "d1", "d2"], ledger=random_runs.LEDGER, lend=0.5)
+    cluster = VirtualCluster(3, ["d0", "d1", "d2"], fairness=random_runs.FAIRNESS, lendable_fraction=0.5)
     for name in cluster.names:
-        cluster.begin(name)
+        cluster.start(name)
     cluster.run(4 * SECOND)
     first = live_member(cluster, "d1")
-    cluster.begin("d1", 9500)
+    cluster.start("d1", 9500)
     cluster.run(9 * SECOND)
-    assert first.agent.stepped_down and first.agent.next_wakeup > first.clock(), "it would spin"
+    assert first.member.stepped_down and first.member.next_wakeup > first.clock(), "it would spin"
 
 
 def test_a_member_that_knows_nobody_contacts_its_seeds_again_and_again() -> None:
--- a/tests/cluster/test_fairness.py
+++ b/tests/cluster/test_fairness.py
@@ -31,7 +31,7 @@
     RequestArrived,
 )
 from locktide.scheduler.types import AttemptOutcome, EndpointState, ListUpdateKind
-from locktide.simulation.cluster.fairness_runs import FairnessRun, solved
+from locktide.simulation.cluster.fairness_runs import FairnessRun, solve_dominant_shares
 
 SECOND = 1_000_000
 
@@ -138,7 +138,7 @@
 ) -> None:
     weights = dict(enumerate(weight_list))
     fair = progressive_filling(capacity, demands, weights)
-    for tenant, share in solved(capacity, demands, weights).items():
+    for tenant, share in solve_dominant_shares(capacity, demands, weights).items():
         assert abs(fair[tenant] / FULL_SHARE - share) < TOLERANCE
     for place, whole in enumerate(capacity):
         used = sum(
@@ -236,10 +236,10 @@
 def test_replicas_are_equal_within_two_seconds_of_quiet_and_standings_are_fair(lose: float) -> None:
     run = FairnessRun(3, 9, lose=lose)
     run.run(8.0)
-    run.world.net.lose = 0.0
-    assert run.until_equal() <= 2.0
-    assert run.distance() < 1e-3
-    standings = [ledger_of(process).standing for process in run.world.all]
+    run.cluster.network.lose = 0.0
+    assert run.run_until_equal() <= 2.0
+    assert run.measure_share_error() < 1e-3
+    standings = [ledger_of(process).standing for process in run.cluster.processes]
     distinct = {
         (str(standing.dominant_shares), str(standing.fair_shares), tuple(standing.order))
         for standing in standings
@@ -256,16 +256,16 @@
     """
     run = FairnessRun(4, 5)
     run.run(4.0)
-    dead = run.world.all[0]
-    writer = dead.agent.member_id
+    dead = run.cluster.processes[0]
+    writer = dead.member.member_id
     dead.kill()
-    run.world.run(run.world.now + 4 * SECOND)
-    rest = run.world.all[1:]
+    run.cluster.run(run.cluster.now + 4 * SECOND)
+    rest = run.cluster.processes[1:]
     assert all(writer in ledger_of(process).replica.writers for process in rest), "its jobs may run"
-    run.world.run(run.world.now + 25 * SECOND)
+    run.cluster.run(run.cluster.now + 25 * SECOND)
     assert not any(writer in ledger_of(process).replica.writers for process in rest)
-    run.quiet()
-    assert run.until_equal() <= 2.0
+    run.drop_jobs_of_dead_members()
+    assert run.run_until_equal() <= 2.0
 
 
 def test_writer_that_was_declared_dead_writes_its_rows_anew() -> None:
@@ -276,17 +276,17 @@
     """
     run = FairnessRun(4, 5)
     run.run(4.0)
-    isolated, other = run.world.all[4], run.world.all[0]
-    run.world.net.cut = {
-        link for name in run.world.names for link in ((isolated.name, name), (name, isolated.name))
+    isolated, other = run.cluster.processes[4], run.cluster.processes[0]
+    run.cluster.network.cut = {
+        link for name in run.cluster.names for link in ((isolated.name, name), (name, isolated.name))
     }
-    run.world.run(run.world.now + 30 * SECOND)
-    assert isolated.agent.member_id not in ledger_of(other).replica.writers
-    run.world.net.cut = set()
-    run.world.run(run.world.now + 25 * SECOND)
-    assert isolated.agent.member_id in ledger_of(other).replica.writers
-    run.quiet()
-    assert run.until_equal() <= 2.0
+    run.cluster.run(run.cluster.now + 30 * SECOND)
+    assert isolated.member.member_id not in ledger_of(other).replica.writers
+    run.cluster.network.cut = set()
+    run.cluster.run(run.cluster.now + 25 * SECOND)
+    assert isolated.member.member_id in ledger_of(other).replica.writers
+    run.drop_jobs_of_dead_members()
+    assert run.run_until_equal() <= 2.0
 
 
 def test_recount_finds_a_row_that_is_counted_twice(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -298,9 +298,9 @@
 
     run = FairnessRun(3, 3)
     run.run(6.0)
-    assert run.until_equal() <= 2.0 and run.distance() < 1e-3
+    assert run.run_until_equal() <= 2.0 and run.measure_share_error() < 1e-3
     monkeypatch.setattr(standing_module, "tenant_totals", count_one_row_twice)
     run.run(1.0)
-    run.until_equal()
-    assert run.distance() > 1e-3
+    run.run_until_equal()
+    assert run.measure_share_error() > 1e-3
     assert replicated_ledger_module.tenant_totals is tenant_totals
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -126,13 +126,13 @@
     with requests at the pace of heartbeats that could go on until their leases ended.
     """
     cluster = settled_cluster()
-    leader = next(live for name in cluster.names if (live := live_member(cluster, name)).agent.allocator)
-    member = leader.agent
+    leader = next(live for name in cluster.names if (live := live_member(cluster, name)).member.allocator)
+    member = leader.member
     requester = next(name for name in cluster.names if name != leader.name)
     assert member.allocator is not None
     request = request_of(number=10_000, held=0, names_checksum=member.quota_names.checksum)
     request.term = member.allocator.term
-    sender = live_member(cluster, requester).agent.member_id
+    sender = live_member(cluster, requester).member.member_id
     envelope = Envelope(VERSION, *sender, request)
     outgoing = member.handle(envelope, member.leadership.next_heartbeat_at)
     heartbeats = [message for _, message in outgoing if isinstance(message, LeaderHeartbeat)]
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -124,5 +124,5 @@
 
 @pytest.mark.parametrize("seed", [8, 38, 56, 59])
 def test_runs_on_which_members_and_ledgers_once_differed_after_quiet_agree(seed: int) -> None:
-    outcome = random_runs.play(seed)
+    outcome = random_runs.run(seed)
     assert outcome.agree and outcome.ledgers == 1 and outcome.overruns == 0
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -77,7 +77,7 @@
         del changed[generator.choice((len(changed), generator.randrange(len(changed) + 1))) :]
         assert bytes(changed) in valid or decode(bytes(changed)) is None
     # With a checksum that fits it is some member's message: it must be rejected or handled, and not raise.
-    member = VirtualCluster(1, ["d0"]).begin("d0").agent
+    member = VirtualCluster(1, ["d0"]).start("d0").member
     for _ in range(20_000):
         body = bytearray(generator.choice(valid)[4:])
         body[generator.randrange(len(body))] = generator.randrange(256)
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -34,7 +34,7 @@
 
 def test_three_processes_paused_cut_killed_and_started_twice_overrun_nothing(tmp_path: Path) -> None:
     faults = [(5.0, "pause"), (5.5, "twice"), (6.0, "cut"), (6.5, "lossy"), (7.0, "kill"), (8.0, "stop")]
-    outcome = asyncio.run(ProcessCluster(4, 3, tmp_path).play(9.0, faults))
+    outcome = asyncio.run(ProcessCluster(4, 3, tmp_path).run(9.0, faults))
     assert not outcome.overruns and outcome.changes > 10 and outcome.datagrams > 100
     assert sum(outcome.faults.values()) == len(faults)
 
@@ -56,8 +56,8 @@
 def test_a_leader_that_grants_the_whole_to_each_is_found_by_the_checker(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(processes, "QUIET", 0.5)
-    outcome = asyncio.run(ProcessesWithGreedyLeader(4, 3, tmp_path).play(5.0, []))
+    monkeypatch.setattr(processes, "QUIET_TIME_S", 0.5)
+    outcome = asyncio.run(ProcessesWithGreedyLeader(4, 3, tmp_path).run(5.0, []))
     assert outcome.overruns
 
 
@@ -116,7 +116,7 @@
     class TransportStandIn:
         config = type("T", (), {"member_id": ("d0", 1)})
         rejected_datagrams = 0
-        member = VirtualCluster(1, ["d0"]).begin("d0").agent
+        member = VirtualCluster(1, ["d0"]).start("d0").member
         transport = type("S", (), {"sendto": lambda self, data, address: sent.append(data)})()
 
         def now(self) -> int:
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -45,7 +45,7 @@
 @settings(max_examples=60)
 @given(st.lists(st.tuples(st.integers(1, 400_000), st.integers(0, 3), st.integers(0, 10**6)), max_size=60))
 def test_buckets_whose_shares_move_spend_no_more_than_the_whole(steps: list[tuple[int, int, int]]) -> None:
-    meter, now = QuotaChecker({"x": (50.0, 10.0)}), 0
+    checker, now = QuotaChecker({"x": (50.0, 10.0)}), 0
     parts = [250_000] * 4
     buckets = [TokenBucket(50.0, 10.0, part, 0) for part in parts]
     for span, place, part in steps:
@@ -55,8 +55,8 @@
         buckets[place].set_share(parts[place], now)
         for one in buckets:
             while one.spend(now):
-                meter.spend("x", now)
-    assert not meter.overruns()
+                checker.spend("x", now)
+    assert not checker.overruns()
 
 
 def test_share_follows_demand_and_is_free_again_within_a_lease_and_a_second_of_its_holders_death() -> None:
@@ -65,22 +65,22 @@
     Its share cannot be returned any more. It must not be granted to others while it may be in force, and it
     must not be lost for longer than the lease and a second.
     """
-    world = settled_cluster()
-    busy = world.all[0] if world.all[0].agent.allocator is None else world.all[1]
+    cluster = settled_cluster()
+    busy = cluster.processes[0] if cluster.processes[0].member.allocator is None else cluster.processes[1]
 
     def ask() -> None:
         for _ in range(30):
             busy.spend("dairy")
-        world.at(world.now + 100_000, ask)
+        cluster.call_at(cluster.now + 100_000, ask)
 
-    world.at(world.now, ask)
-    world.run(10 * SECOND)
-    assert busy.agent.local_quota.shares["dairy"] > 600_000
+    cluster.call_at(cluster.now, ask)
+    cluster.run(10 * SECOND)
+    assert busy.member.local_quota.shares["dairy"] > 600_000
     busy.kill()
-    world.run(10 * SECOND + SHARE_LEASE + SECOND)
-    left = [one.agent.local_quota.shares["dairy"] for one in world.all if one.alive]
-    assert sum(left) > 900_000 - busy.agent.local_quota.guaranteed_minimum
-    assert not world.meter.overruns()
+    cluster.run(10 * SECOND + SHARE_LEASE + SECOND)
+    left = [one.member.local_quota.shares["dairy"] for one in cluster.processes if one.alive]
+    assert sum(left) > 900_000 - busy.member.local_quota.guaranteed_minimum
+    assert not cluster.checker.overruns()
 
 
 def test_death_of_the_leader_costs_shares_only_until_another_is_elected() -> None:
@@ -89,14 +89,14 @@
     Shares may expire meanwhile. After that one member has to lead, and the shares of those alive have to be
     nearly the whole again, without any moment at which they were more.
     """
-    world = settled_cluster()
-    leader = next(one for one in world.all if one.agent.allocator is not None)
+    cluster = settled_cluster()
+    leader = next(one for one in cluster.processes if one.member.allocator is not None)
     leader.kill()
-    world.run(14 * SECOND)
-    live = [one for one in world.all if one.alive]
-    assert sum(one.agent.allocator is not None for one in live) == 1
-    assert sum(one.agent.local_quota.shares["dairy"] for one in live) > 800_000
-    assert not world.meter.overruns()
+    cluster.run(14 * SECOND)
+    live = [one for one in cluster.processes if one.alive]
+    assert sum(one.member.allocator is not None for one in live) == 1
+    assert sum(one.member.local_quota.shares["dairy"] for one in live) > 800_000
+    assert not cluster.checker.overruns()
 
 
 def test_member_that_is_cut_off_spends_its_guaranteed_minimum_and_no_more() -> None:
@@ -105,17 +105,17 @@
     With its former share it would spend what others have by then, and with nothing it would reject all of its
     clients. It must have its guaranteed minimum, which needs no message.
     """
-    world = settled_cluster()
-    alone = world.all[4]
-    world.net.cut = {pair for name in world.names for pair in (("d4", name), (name, "d4"))}
-    world.run(13 * SECOND)  # also if it led: its lease, and what it gave itself at the end of that
-    assert alone.agent.local_quota.shares["dairy"] == alone.agent.local_quota.guaranteed_minimum > 0
-    spent = alone.spent
+    cluster = settled_cluster()
+    alone = cluster.processes[4]
+    cluster.network.cut = {pair for name in cluster.names for pair in (("d4", name), (name, "d4"))}
+    cluster.run(13 * SECOND)  # also if it led: its lease, and what it gave itself at the end of that
+    assert alone.member.local_quota.shares["dairy"] == alone.member.local_quota.guaranteed_minimum > 0
+    spent = alone.spent_tokens
     for _ in range(200):
-        world.run(world.now + 50_000)
+        cluster.run(cluster.now + 50_000)
         alone.spend("dairy")
-    assert alone.spent > spent, "a floor needs no talk"
-    assert not world.meter.overruns()
+    assert alone.spent_tokens > spent, "a floor needs no talk"
+    assert not cluster.checker.overruns()
 
 
 @pytest.mark.parametrize("late", [0, 1, 10 * SECOND])
@@ -141,14 +141,14 @@
 
     Neither a message nor its timer reaches it before them. It must spend its guaranteed minimum at most.
     """
-    world = settled_cluster()
-    stopped = next(process for process in world.all if process.agent.allocator is None)
-    agent, rate, burst = stopped.agent, 60, 60
+    cluster = settled_cluster()
+    stopped = next(process for process in cluster.processes if process.member.allocator is None)
+    agent, rate, burst = stopped.member, 60, 60
     held, floor = agent.local_quota.shares["dairy"], agent.local_quota.guaranteed_minimum
     assert held > 3 * floor > 0
     stopped.pause()
     while stopped.clock() < agent.local_quota.shares_until:
-        world.run(world.now + 100_000)
+        cluster.run(cluster.now + 100_000)
     assert agent.local_quota.shares["dairy"] == held, "nothing has reached it that could have ended the lease"
     spent = sum(agent.spend("dairy", stopped.clock()) is not None for _ in range(rate + burst))
     assert spent <= burst * floor // 1_000_000
@@ -157,13 +157,13 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_random_run_with_faults_overruns_no_quota(seed: int) -> None:
-    told = random_runs.play(seed)
-    assert not told.overruns, told.first
-    assert told.led_again and told.spent
+    outcome = random_runs.run(seed)
+    assert not outcome.overruns, outcome.first
+    assert outcome.has_leader and outcome.spent
 
 
 def test_same_seed_gives_the_same_run() -> None:
-    assert random_runs.play(2) == random_runs.play(2)
+    assert random_runs.run(2) == random_runs.run(2)
 
 
 def test_no_order_of_events_overruns_a_quota() -> None:
@@ -219,19 +219,19 @@
 ) -> None:
     if doubled:
         doubles_the_burst(monkeypatch)
-    world = settled_cluster()
+    cluster = settled_cluster()
     for step in range(600):
-        for process in world.all:
+        for process in cluster.processes:
             for _ in range(9 if process.name == f"d{step // 40 % 2}" else 1):
                 process.spend("dairy")
-        world.run(world.now + 50_000)
-    assert bool(world.meter.overruns()) == doubled
+        cluster.run(cluster.now + 50_000)
+    assert bool(cluster.checker.overruns()) == doubled
 
 
 @pytest.mark.parametrize("fault", [forgets_expiry, waits_out_nothing, elects_two])
 def test_checker_finds_each_injected_fault(fault: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     fault(monkeypatch)
-    assert any(random_runs.play(seed).overruns for seed in range(40))
+    assert any(random_runs.run(seed).overruns for seed in range(40))
 
 
 def test_model_checking_finds_an_allocator_that_does_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -244,20 +244,20 @@
 
 
 def test_checker_on_a_run_made_by_hand() -> None:
-    meter = QuotaChecker({"x": (10.0, 5.0)})
-    meter.in_force("a", 0, {"x": 600_000}, 100, 50_000)
-    meter.in_force("b", 100, {"x": 900_000}, 300, 50_000)
-    assert not meter.overruns(), "what ends at an instant does not overlap what begins there"
-    meter.in_force("c", 150, {"x": 60_000}, 0, 60_000)
-    assert [one.at for one in meter.overruns()] == [150]
-    meter.end("a", 140)
-    assert not meter.overruns()
+    checker = QuotaChecker({"x": (10.0, 5.0)})
+    checker.in_force("a", 0, {"x": 600_000}, 100, 50_000)
+    checker.in_force("b", 100, {"x": 900_000}, 300, 50_000)
+    assert not checker.overruns(), "what ends at an instant does not overlap what begins there"
+    checker.in_force("c", 150, {"x": 60_000}, 0, 60_000)
+    assert [one.at for one in checker.overruns()] == [150]
+    checker.end("a", 140)
+    assert not checker.overruns()
     for at in (0, 0, 0, 0, 0, 100_000):
-        meter.spend("x", at)
-    assert not meter.overruns()
-    meter.spend("x", 100_001)
-    assert [one.at for one in meter.overruns()] == [100_001]
+        checker.spend("x", at)
+    assert not checker.overruns()
+    checker.spend("x", 100_001)
+    assert [one.at for one in checker.overruns()] == [100_001]
 
 
 def test_virtual_cluster_runs_the_cluster_member() -> None:
-    assert VirtualCluster(1, ["d0"]).of is ClusterMember
+    assert VirtualCluster(1, ["d0"]).member_factory is ClusterMember
--- a/tests/cluster/test_reporting.py
+++ b/tests/cluster/test_reporting.py
@@ -27,7 +27,7 @@
 
 
 def new_member() -> ClusterMember:
-    member: ClusterMember = VirtualCluster(1, ["d0"]).begin("d0").agent
+    member: ClusterMember = VirtualCluster(1, ["d0"]).start("d0").member
     return member
 
 
--- a/tests/cluster_helpers.py
+++ b/tests/cluster_helpers.py
@@ -23,20 +23,20 @@
     """A cluster in virtual time, once it has elected a leader and divided its quotas."""
     cluster = VirtualCluster(seed, [f"d{number}" for number in range(members)], 3 if members < 5 else 5)
     for name in cluster.names:
-        cluster.begin(name)
+        cluster.start(name)
     cluster.run(seconds * SECOND)
     return cluster
 
 
 def live_member(cluster: VirtualCluster, name: str) -> VirtualMember:
     """The process of that name that is alive."""
-    process = cluster.live(name)
+    process = cluster.live_process(name)
     assert process is not None
     return process
 
 
 def ledger_of(process: VirtualMember) -> FairnessLedger:
     """The fairness ledger of a member that is configured with one."""
-    ledger = process.agent.ledger
+    ledger = process.member.ledger
     assert ledger is not None
     return ledger
