--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -78,7 +78,7 @@
         assert bytes(changed) in valid or decode(bytes(changed)) is None
     # A changed body with a matching checksum looks like a valid message: it must be rejected or handled, and
     # must not raise.
-    member = VirtualCluster(1, ["d0"]).begin("d0").agent
+    member = VirtualCluster(1, ["d0"]).start("d0").member
     for _ in range(20_000):
         body = bytearray(generator.choice(valid)[4:])
         body[generator.randrange(len(body))] = generator.randrange(256)
