--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -14,8 +14,7 @@
 from typing import Any
 
 import pytest
-from helpers import Checked, HandPlayed, submission
-from helpers import terms as scheduler_config
+from helpers import CheckedScheduler, DispatcherHarness, scheduler_config, submit_request
 
 from locktide.cluster.config import ClusterConfig
 from locktide.cluster.messages import InspectionRequest, decode, encode
@@ -179,10 +178,10 @@
     assert result.stdout.strip() == "[]"
 
 
-def scheduler_with_shares(update: QuotaSharesUpdated | None, after: int = 0) -> Checked:
-    harness = Checked(fleet=10)
+def scheduler_with_shares(update: QuotaSharesUpdated | None, after: int = 0) -> CheckedScheduler:
+    harness = CheckedScheduler(dispatcher_count=10)
     if update is not None:
-        harness.turn(update)
+        harness.step(update)
     harness.now += after
     # Uses up the tokens that are there at the start.
     for _ in range(100):
@@ -190,13 +189,13 @@
     return harness
 
 
-def next_coverage(harness: Checked) -> str:
+def next_coverage(harness: CheckedScheduler) -> str:
     """Return the quota coverage of one more request."""
-    harness.dispatcher.clock.now = harness.now
-    return harness.dispatcher.quotas.cover("dairy").value
+    harness.scheduler.clock.now = harness.now
+    return harness.scheduler.quotas.cover("dairy").value
 
 
-def coverage_of_requests(harness: Checked) -> list[str]:
+def coverage_of_requests(harness: CheckedScheduler) -> list[str]:
     """Return the quota coverage of each of a hundred requests within four seconds."""
     coverages = []
     for _ in range(100):
@@ -236,53 +235,55 @@
     From then on they must wait no longer than requests beyond their tenant's quota, and then be rejected.
     """
     lent = [QuotaStage(1 << 62, {"dairy": 0.0}, {"dairy": 1.0})]
-    harness = Checked(fleet=1)
-    harness.turn(QuotaSharesUpdated(lent))
-    harness.dispatcher.quotas.buckets["dairy"].level = 0.0
-    harness.dispatcher.quotas.cover(
+    harness = CheckedScheduler(dispatcher_count=1)
+    harness.step(QuotaSharesUpdated(lent))
+    harness.scheduler.quotas.buckets["dairy"].level = 0.0
+    harness.scheduler.quotas.cover(
         "dairy"
     )  # starts the loan's bucket, which is empty at first and fills over time
     harness.now += 1_000_000
     for number in range(4):
-        harness.turn(RequestArrived(f"s{number}", "record", harness.now + 6_000_000, tenant="dairy"))
-    pool = harness.dispatcher.requests.waiting
+        harness.step(RequestArrived(f"s{number}", "record", harness.now + 6_000_000, tenant="dairy"))
+    pool = harness.scheduler.requests.waiting
     before = [request.queue_deadline for request in pool]
     assert [request.borrowing_tenant for request in pool] == ["dairy"] * 4
-    harness.turn(QuotaSharesUpdated([QuotaStage(1 << 62, {"dairy": 0.0}, {"dairy": 0.5})]))
+    harness.step(QuotaSharesUpdated([QuotaStage(1 << 62, {"dairy": 0.0}, {"dairy": 0.5})]))
     assert [request.queue_deadline for request in pool] == before, "the loan is smaller, but has not ended"
-    harness.turn(QuotaSharesUpdated([QuotaStage(1 << 62, {"dairy": 0.0})]))
+    harness.step(QuotaSharesUpdated([QuotaStage(1 << 62, {"dairy": 0.0})]))
     assert [request.queue_deadline < previous for request, previous in zip(pool, before, strict=True)] == [
         True
     ] * 4
     assert [request.borrowing_tenant for request in pool] == [None] * 4
     last_deadline = max(request.queue_deadline for request in pool)
     harness.now = last_deadline
-    commands = harness.turn()
+    commands = harness.step()
     assert sum(type(command) is RejectRequest for command in commands) == 4
 
 
 def test_the_member_emits_quota_shares_and_counts_requests_as_demand() -> None:
     async def run() -> None:
-        harness = HandPlayed()
+        harness = DispatcherHarness()
         address = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
         quotas = [QuotaSpec("dairy", 5.0, 25.0)]
         config = ClusterConfig(("d0", 1), address, {"d0": address}, [], quotas, 0.2, 2)
-        transport = await open_udp_transport(config, harness.node.log, harness.node.bridge, address)
-        request = replace(submission("a"), tenant="dairy")
-        harness.node.submit(request)
+        transport = await open_udp_transport(
+            config, harness.dispatcher.log, harness.dispatcher.bridge, address
+        )
+        request = replace(submit_request("a"), tenant="dairy")
+        harness.dispatcher.submit(request)
         assert transport.member.local_quota.demand == {"dairy": 1}
-        await harness.settle()
+        await harness.run_pending_tasks()
         updates = [
-            event for _, events in harness.turns for event in events if type(event) is QuotaSharesUpdated
+            event for _, events in harness.steps for event in events if type(event) is QuotaSharesUpdated
         ]
         assert [stage.shares for stage in updates[0].stages] == [{"dairy": 0.1}] * 2
-        assert harness.node.scheduler.quotas.shares is updates[-1]
-        count = len(harness.turns)
-        harness.node.bridge.enqueue_event(ConfigReloaded(scheduler_config(3, 1, False, 0.4)))
+        assert harness.dispatcher.scheduler.quotas.shares is updates[-1]
+        count = len(harness.steps)
+        harness.dispatcher.bridge.enqueue_event(ConfigReloaded(scheduler_config(3, 1, False, 0.4)))
         await asyncio.sleep(0.01)
-        assert len(harness.turns) > count
-        assert harness.node.scheduler.quotas.shares.stages[-1].shares == {"dairy": 0.1}
+        assert len(harness.steps) > count
+        assert harness.dispatcher.scheduler.quotas.shares.stages[-1].shares == {"dairy": 0.1}
         await transport.close()
-        assert harness.node.bridge.observers == []
+        assert harness.dispatcher.bridge.observers == []
 
     asyncio.run(run())
--- a/tests/dispatcher/test_attempts.py
+++ b/tests/dispatcher/test_attempts.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from helpers import HandPlayed, run_story, submission
+from helpers import DispatcherHarness, run_with_dispatcher, submit_request
 
 from locktide.scheduler.types import AttemptOutcome, EndpointState
 from locktide.transport.interfaces import Response
@@ -20,25 +20,25 @@
     prevent this, and the attempt counts as never sent.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.submit(submission("a", patience=800_000 if change == "late" else 3_000_000))
-        attempt = await harness.ordered("a")
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.submit(submit_request("a", timeout=800_000 if change == "late" else 3_000_000))
+        attempt = await harness.started_attempt("a")
         if change == "draining":
-            harness.list(attempt.worker, EndpointState.DRAINING)
+            harness.update_endpoint(attempt.worker, EndpointState.DRAINING)
         elif change == "gone":
-            harness.list(attempt.worker, EndpointState.GONE)
+            harness.update_endpoint(attempt.worker, EndpointState.GONE)
         elif change == "answered":
-            harness.node.registry.open_requests["a"].response.set_result(Response(502))
+            harness.dispatcher.registry.open_requests["a"].response.set_result(Response(502))
         elif change == "late":
-            harness.node.clock.offset += 1.0
+            harness.dispatcher.clock.offset += 1.0
         message = attempt.build()
         assert (message is not None) == (change == "none")
         if message is None:
             attempt.end(AttemptOutcome.NEVER_SENT)
-            await harness.settle()
+            await harness.run_pending_tasks()
             assert harness.outcomes()[0] == AttemptOutcome.NEVER_SENT
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
 
 
 def test_reply_that_never_comes_times_out_after_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -49,17 +49,17 @@
     """
     monkeypatch.setattr("locktide.dispatcher.job_sender.LATE_REPLY_TIMEOUT", 0.02)
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.submit(submission("a", patience=200_000))
-        attempt = await harness.sent("a")
-        harness.call("a", attempt.worker, "done")
-        await harness.settle()
-        assert not harness.node.registry.open_requests and harness.node.tasks
-        while harness.node.tasks:
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.submit(submit_request("a", timeout=200_000))
+        attempt = await harness.sent_attempt("a")
+        harness.receive_callback("a", attempt.worker, "done")
+        await harness.run_pending_tasks()
+        assert not harness.dispatcher.registry.open_requests and harness.dispatcher.tasks
+        while harness.dispatcher.tasks:
             await asyncio.sleep(0.005)
-        assert attempt.cancelled and harness.outcomes() == [AttemptOutcome.DONE]
+        assert attempt.is_cancelled and harness.outcomes() == [AttemptOutcome.DONE]
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
 
 
 def test_worker_reply_4xx_is_a_400_for_the_client_and_is_not_retried() -> None:
@@ -68,12 +68,12 @@
     The client must get a 400 at once, and the message must not be sent to another worker.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        response = harness.node.submit(submission("a"))
+    async def scenario(harness: DispatcherHarness) -> None:
+        response = harness.dispatcher.submit(submit_request("a"))
         assert response is not None
-        (await harness.sent("a")).reply(404)
-        await harness.settle()
+        (await harness.sent_attempt("a")).respond(404)
+        await harness.run_pending_tasks()
         assert response.result().status == 400 and harness.outcomes() == [AttemptOutcome.UNPROCESSABLE]
-        assert len(harness.asked) == 1 and not harness.node.registry.open_requests
+        assert len(harness.exchanges) == 1 and not harness.dispatcher.registry.open_requests
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
--- a/tests/dispatcher/test_callbacks.py
+++ b/tests/dispatcher/test_callbacks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from helpers import HandPlayed, run_story, submission
+from helpers import DispatcherHarness, run_with_dispatcher, submit_request
 
 from locktide.scheduler.events import AttemptSent
 from locktide.scheduler.types import AttemptOutcome
@@ -15,23 +15,23 @@
     result once, and the scheduler one outcome.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        response = harness.node.submit(submission("a"))
+    async def scenario(harness: DispatcherHarness) -> None:
+        response = harness.dispatcher.submit(submit_request("a"))
         assert response is not None
-        attempt = await harness.sent("a")
-        harness.call("a", attempt.worker, "started")  # before the 202
-        harness.call("a", "w-nobody", "done", b"forged")  # the job was not sent to that worker
-        harness.call("b", attempt.worker, "done", b"whose")  # there is no such request
+        attempt = await harness.sent_attempt("a")
+        harness.receive_callback("a", attempt.worker, "started")  # before the 202
+        harness.receive_callback("a", "w-nobody", "done", b"forged")  # the job was not sent to that worker
+        harness.receive_callback("b", attempt.worker, "done", b"whose")  # there is no such request
         assert not response.done()
-        harness.call("a", attempt.worker, "done", b"r\x00\xff")
+        harness.receive_callback("a", attempt.worker, "done", b"r\x00\xff")
         assert response.result() == Response(200, b"r\x00\xff")
-        harness.call("a", attempt.worker, "done", b"twice")
-        attempt.reply(202)
-        await harness.settle()
-        assert harness.outcomes() == [AttemptOutcome.DONE] and not harness.node.registry.open_requests
-        assert sum(type(event) is AttemptSent for _, events in harness.turns for event in events) == 1
+        harness.receive_callback("a", attempt.worker, "done", b"twice")
+        attempt.respond(202)
+        await harness.run_pending_tasks()
+        assert harness.outcomes() == [AttemptOutcome.DONE] and not harness.dispatcher.registry.open_requests
+        assert sum(type(event) is AttemptSent for _, events in harness.steps for event in events) == 1
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
 
 
 def test_callback_for_an_attempt_that_is_not_sent_is_ignored() -> None:
@@ -40,11 +40,11 @@
     still sent later. A callback cannot be about an attempt whose last byte is not sent.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.submit(submission("a"))
-        attempt = await harness.ordered("a")
-        harness.call("a", attempt.worker, "returned")
-        await harness.settle()
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.submit(submit_request("a"))
+        attempt = await harness.started_attempt("a")
+        harness.receive_callback("a", attempt.worker, "returned")
+        await harness.run_pending_tasks()
         assert harness.outcomes() == []
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
--- a/tests/dispatcher/test_cancellation.py
+++ b/tests/dispatcher/test_cancellation.py
@@ -12,7 +12,16 @@
 from pathlib import Path
 
 import pytest
-from helpers import TAKEN, Asked, HandPlayed, free_address, run_story, submission, submit, until_serving
+from helpers import (
+    ACCEPTED_RESPONSE,
+    DispatcherHarness,
+    ManualExchange,
+    free_address,
+    run_with_dispatcher,
+    submit_bytes,
+    submit_request,
+    wait_until_serving,
+)
 
 from locktide.dispatcher.cancellation_delivery import IMMEDIATE_SENDS, CancellationDelivery
 from locktide.scheduler.commands import CancelAttempt
@@ -24,26 +33,28 @@
 ZONE_LOST = Path(__file__).parents[2] / "deploy/scenarios/zone-lost.toml"
 
 
-async def start_and_cancel(harness: HandPlayed, accepted: bool = True, connect_within: int = 5_000) -> Asked:
-    harness.node.settings.connect_within = connect_within
-    harness.node.submit(submission("a"))
-    attempt = await harness.sent("a")
+async def start_and_cancel(
+    harness: DispatcherHarness, accepted: bool = True, connect_within: int = 5_000
+) -> ManualExchange:
+    harness.dispatcher.settings.connect_within = connect_within
+    harness.dispatcher.submit(submit_request("a"))
+    attempt = await harness.sent_attempt("a")
     if accepted:
-        attempt.reply(202)
-    await harness.settle()
-    harness.node.cancellations.cancel_attempt(CancelAttempt("a", 0))
-    await harness.settle()
+        attempt.respond(202)
+    await harness.run_pending_tasks()
+    harness.dispatcher.cancellations.cancel_attempt(CancelAttempt("a", 0))
+    await harness.run_pending_tasks()
     return attempt
 
 
-async def fail_sends(harness: HandPlayed, times: int) -> None:
+async def fail_sends(harness: DispatcherHarness, times: int) -> None:
     for _ in range(times):
         async with asyncio.timeout(10.0):  # if nothing is sent any more, the test fails instead of hanging
-            while harness.asked[-1].ended.done():
+            while harness.exchanges[-1].result.done():
                 await asyncio.sleep(0.001)
-        assert harness.asked[-1].build() is not None
-        harness.asked[-1].end(AttemptOutcome.NO_CONNECTION)
-        await harness.settle()
+        assert harness.exchanges[-1].build() is not None
+        harness.exchanges[-1].end(AttemptOutcome.NO_CONNECTION)
+        await harness.run_pending_tasks()
 
 
 def test_accepted_attempt_does_not_end_while_its_worker_cannot_be_reached() -> None:
@@ -55,14 +66,18 @@
     """
 
     async def run() -> None:
-        harness = HandPlayed()
+        harness = DispatcherHarness()
         await start_and_cancel(harness, connect_within=40_000)
         await fail_sends(harness, 8)
-        while harness.asked[-1].ended.done():
+        while harness.exchanges[-1].result.done():
             await asyncio.sleep(0.001)
-        assert harness.outcomes() == [] and len(harness.asked) == 10 and harness.asked[-1].fresh
-        harness.asked[-1].reply(404)
-        await harness.settle()
+        assert (
+            harness.outcomes() == []
+            and len(harness.exchanges) == 10
+            and harness.exchanges[-1].on_new_connection
+        )
+        harness.exchanges[-1].respond(404)
+        await harness.run_pending_tasks()
         assert harness.outcomes() == [AttemptOutcome.CANCELLED]
 
     # In virtual time, as a process that is held up for the timeout of a send would end that send early.
@@ -77,16 +92,16 @@
     """
 
     async def run() -> None:
-        harness = HandPlayed()
+        harness = DispatcherHarness()
         await start_and_cancel(harness)
-        idle_send = harness.asked[-1]
-        idle_send.sent()
-        while harness.asked[-1] is idle_send:
+        idle_send = harness.exchanges[-1]
+        idle_send.on_sent()
+        while harness.exchanges[-1] is idle_send:
             await asyncio.sleep(0.001)
-        assert not idle_send.fresh and idle_send.cancelled and harness.outcomes() == []
+        assert not idle_send.on_new_connection and idle_send.is_cancelled and harness.outcomes() == []
         # Sent on a new connection, it counts as delivered: a hanging process reads it before it continues.
-        assert harness.asked[-1].fresh
-        harness.asked[-1].sent()
+        assert harness.exchanges[-1].on_new_connection
+        harness.exchanges[-1].on_sent()
         while not harness.outcomes():
             await asyncio.sleep(0.001)
         assert harness.outcomes() == [AttemptOutcome.CANCELLED]
@@ -101,9 +116,9 @@
     """
 
     async def run() -> None:
-        harness = HandPlayed()
+        harness = DispatcherHarness()
         attempt = await start_and_cancel(harness, accepted=False)
-        assert attempt.cancelled
+        assert attempt.is_cancelled
         await fail_sends(harness, IMMEDIATE_SENDS)
         assert harness.outcomes() == [AttemptOutcome.CANCELLED]
 
@@ -119,23 +134,23 @@
 
     async def run() -> None:
         for state in ("done", ""):
-            harness = HandPlayed()
+            harness = DispatcherHarness()
             attempt = await start_and_cancel(harness)
             await fail_sends(harness, IMMEDIATE_SENDS)
             if state:
-                harness.call("a", attempt.worker, state, b"result")
+                harness.receive_callback("a", attempt.worker, state, b"result")
             else:
-                harness.node.timeouts.time_out(harness.node.registry.open_requests["a"])
-            await harness.settle()
+                harness.dispatcher.timeouts.time_out(harness.dispatcher.registry.open_requests["a"])
+            await harness.run_pending_tasks()
             assert harness.outcomes() == [AttemptOutcome.DONE if state else AttemptOutcome.TIMED_OUT]
             for _ in range(2):
                 await asyncio.sleep(0.06)
-                for exchange in harness.asked:
-                    if exchange.fresh and not exchange.ended.done():
+                for exchange in harness.exchanges:
+                    if exchange.on_new_connection and not exchange.result.done():
                         exchange.end(AttemptOutcome.NO_CONNECTION)
-            count = sum(attempt.fresh for attempt in harness.asked)
+            count = sum(attempt.on_new_connection for attempt in harness.exchanges)
             await asyncio.sleep(0.06)
-            assert sum(attempt.fresh for attempt in harness.asked) == count
+            assert sum(attempt.on_new_connection for attempt in harness.exchanges) == count
 
     asyncio.run(run())
 
@@ -148,23 +163,25 @@
     202, the attempt must end only once the worker has replied to the cancellation.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.submit(submission("b/1"))
-        attempt = await harness.sent("b/1")
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.submit(submit_request("b/1"))
+        attempt = await harness.sent_attempt("b/1")
         if accepted:
-            attempt.reply(202)
-        await harness.settle()
-        harness.node.client_disconnected(harness.node.registry.open_requests["b/1"].message)
-        await harness.settle()
-        assert attempt.cancelled != accepted and harness.outcomes() == []
-        message = harness.asked[-1].build()
+            attempt.respond(202)
+        await harness.run_pending_tasks()
+        harness.dispatcher.client_disconnected(harness.dispatcher.registry.open_requests["b/1"].message)
+        await harness.run_pending_tasks()
+        assert attempt.is_cancelled != accepted and harness.outcomes() == []
+        message = harness.exchanges[-1].build()
         assert message is not None
         assert (message.method, message.target) == ("DELETE", "/jobs/b%2F1")
-        harness.asked[-1].reply(204)
-        await harness.settle()
-        assert harness.outcomes() == [AttemptOutcome.CANCELLED] and not harness.node.registry.open_requests
+        harness.exchanges[-1].respond(204)
+        await harness.run_pending_tasks()
+        assert (
+            harness.outcomes() == [AttemptOutcome.CANCELLED] and not harness.dispatcher.registry.open_requests
+        )
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
 
 
 def test_attempt_cancelled_before_its_first_byte_was_never_sent() -> None:
@@ -174,14 +191,17 @@
     the request must be removed.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.submit(submission("a"))
-        await harness.ordered("a")
-        harness.node.client_disconnected(harness.node.registry.open_requests["a"].message)
-        await harness.settle()
-        assert harness.outcomes() == [AttemptOutcome.NEVER_SENT] and not harness.node.registry.open_requests
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.submit(submit_request("a"))
+        await harness.started_attempt("a")
+        harness.dispatcher.client_disconnected(harness.dispatcher.registry.open_requests["a"].message)
+        await harness.run_pending_tasks()
+        assert (
+            harness.outcomes() == [AttemptOutcome.NEVER_SENT]
+            and not harness.dispatcher.registry.open_requests
+        )
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
 
 
 def test_silent_worker_does_not_hold_up_a_cancellation(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -191,18 +211,18 @@
     must time out, and a cancellation sent on a new connection counts as delivered.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.settings.connect_within = 1000
-        harness.node.submit(submission("a"))
-        (await harness.sent("a")).reply(202)
-        await harness.settle()
-        harness.node.client_disconnected(harness.node.registry.open_requests["a"].message)
-        while harness.node.registry.open_requests:
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.settings.connect_within = 1000
+        harness.dispatcher.submit(submit_request("a"))
+        (await harness.sent_attempt("a")).respond(202)
+        await harness.run_pending_tasks()
+        harness.dispatcher.client_disconnected(harness.dispatcher.registry.open_requests["a"].message)
+        while harness.dispatcher.registry.open_requests:
             await asyncio.sleep(0.005)
-        await harness.settle()  # the scheduler has the outcome in the next loop turn
+        await harness.run_pending_tasks()  # the scheduler has the outcome in the next loop turn
         assert harness.outcomes() == [AttemptOutcome.CANCELLED]
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
 
 
 def test_cancellation_whose_connection_breaks_is_sent_again_before_the_attempt_ends() -> None:
@@ -211,22 +231,24 @@
     again until the worker has replied.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.submit(submission("a"))
-        (await harness.sent("a")).reply(202)
-        await harness.settle()
-        harness.node.client_disconnected(harness.node.registry.open_requests["a"].message)
-        await harness.settle()
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.submit(submit_request("a"))
+        (await harness.sent_attempt("a")).respond(202)
+        await harness.run_pending_tasks()
+        harness.dispatcher.client_disconnected(harness.dispatcher.registry.open_requests["a"].message)
+        await harness.run_pending_tasks()
         for outcome in (AttemptOutcome.CONNECTION_CLOSED, AttemptOutcome.RESET):
-            harness.asked[-1].end(outcome)
-            await harness.settle()
-            assert harness.outcomes() == [] and harness.asked[-1].build() is not None
-        assert len(harness.asked) == 4
-        harness.asked[-1].reply(200)
-        await harness.settle()
-        assert harness.outcomes() == [AttemptOutcome.CANCELLED] and not harness.node.registry.open_requests
+            harness.exchanges[-1].end(outcome)
+            await harness.run_pending_tasks()
+            assert harness.outcomes() == [] and harness.exchanges[-1].build() is not None
+        assert len(harness.exchanges) == 4
+        harness.exchanges[-1].respond(200)
+        await harness.run_pending_tasks()
+        assert (
+            harness.outcomes() == [AttemptOutcome.CANCELLED] and not harness.dispatcher.registry.open_requests
+        )
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
 
 
 def respond_once(listener: socket.socket, status: bytes) -> str:
@@ -279,15 +301,15 @@
         env={**os.environ, "GW_CONFIG": str(path), "GW_DISCOVERY": ""},
     )
     try:
-        until_serving(process)
+        wait_until_serving(process)
         with socket.create_connection(listen_address) as client:
-            client.sendall(submit(Req_Deadline="8000m"))
+            client.sendall(submit_bytes(Req_Deadline="8000m"))
             first_worker = workers[select.select(workers, [], [], 5.0)[0][0] is workers[1]]
             other_worker = workers[first_worker is workers[0]]
             connection, _ = first_worker.accept()
             connection.setblocking(True)
             assert connection.recv(65536).startswith(b"POST /view")
-            connection.sendall(TAKEN % 0)
+            connection.sendall(ACCEPTED_RESPONSE % 0)
             worker_address = first_worker.getsockname()
             first_worker.close()  # the worker cannot be reached any more
             connection.close()
@@ -298,7 +320,7 @@
                 assert respond_once(restarted_worker, b"HTTP/1.1 204 No Content\r\n\r\n").startswith(
                     "DELETE /jobs/a1"
                 )
-                assert respond_once(other_worker, TAKEN % 0).startswith("POST /view")
+                assert respond_once(other_worker, ACCEPTED_RESPONSE % 0).startswith("POST /view")
     finally:
         process.kill()
         process.wait()
--- a/tests/dispatcher/test_command_executor.py
+++ b/tests/dispatcher/test_command_executor.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from helpers import HandPlayed, run_story, submission
+from helpers import DispatcherHarness, run_with_dispatcher, submit_request
 
 from locktide.scheduler.commands import FailRequest
 
@@ -17,25 +17,25 @@
     of waiting clients still get their responses.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        background = harness.node.submit(replace(submission("background"), background=True))
-        waiting = harness.node.submit(submission("waiting"))
+    async def scenario(harness: DispatcherHarness) -> None:
+        background = harness.dispatcher.submit(replace(submit_request("background"), background=True))
+        waiting = harness.dispatcher.submit(submit_request("waiting"))
         assert background is not None and waiting is not None
-        harness.node.shutdown.limit_new_requests(harness.node.loop.time() + 5.0)
-        harness.node.bridge.execute(FailRequest("background"))
-        harness.node.bridge.execute(FailRequest("waiting"))
+        harness.dispatcher.shutdown.limit_new_requests(harness.dispatcher.loop.time() + 5.0)
+        harness.dispatcher.bridge.execute(FailRequest("background"))
+        harness.dispatcher.bridge.execute(FailRequest("waiting"))
         assert not background.done() and waiting.result().status == 502
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
 
 
 def test_outside_a_shutdown_a_command_about_a_background_request_is_executed() -> None:
     """The counterpart of the test above: outside a shutdown, a background request fails like any other."""
 
-    async def scenario(harness: HandPlayed) -> None:
-        background = harness.node.submit(replace(submission("background"), background=True))
+    async def scenario(harness: DispatcherHarness) -> None:
+        background = harness.dispatcher.submit(replace(submit_request("background"), background=True))
         assert background is not None
-        harness.node.bridge.execute(FailRequest("background"))
+        harness.dispatcher.bridge.execute(FailRequest("background"))
         assert background.result().status == 502
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -10,7 +10,18 @@
 from typing import Any
 
 import pytest
-from helpers import GRADES, Checked, Clerk, HandPlayed, call, free_address, listed, submission, submit, terms
+from helpers import (
+    SERVICE_CLASSES,
+    CheckedScheduler,
+    DispatcherHarness,
+    RequestHandlerStub,
+    callback_bytes,
+    endpoint_entry,
+    free_address,
+    scheduler_config,
+    submit_bytes,
+    submit_request,
+)
 
 from locktide.config.start import Start
 from locktide.dispatcher.attempts import AttemptRunner
@@ -36,11 +47,11 @@
 
 
 def run_with_listener(
-    scenario: Callable[[Listener, Clerk, Any], Awaitable[None]], descriptors: int = 64
+    scenario: Callable[[Listener, RequestHandlerStub, Any], Awaitable[None]], descriptors: int = 64
 ) -> None:
     async def run() -> None:
-        handler, address = Clerk(), free_address()
-        timeouts = {service_class.name: service_class.timeout for service_class in GRADES}
+        handler, address = RequestHandlerStub(), free_address()
+        timeouts = {service_class.name: service_class.timeout for service_class in SERVICE_CLASSES}
         listener = Listener(DescriptorBudget(descriptors), timeouts, set(), 400_000, handler, Log("n0"))
         listener.listen(address)
         await scenario(listener, handler, address)
@@ -51,9 +62,9 @@
     asyncio.run(run())
 
 
-def run_with_harness(scenario: Callable[[HandPlayed], Awaitable[None]]) -> None:
+def run_with_harness(scenario: Callable[[DispatcherHarness], Awaitable[None]]) -> None:
     async def run() -> None:
-        await scenario(HandPlayed())
+        await scenario(DispatcherHarness())
 
     asyncio.run(run())
 
@@ -77,20 +88,20 @@
     submitted.
     """
 
-    async def scenario(listener: Listener, handler: Clerk, address: Any) -> None:
+    async def scenario(listener: Listener, handler: RequestHandlerStub, address: Any) -> None:
         client = socket.create_connection(address)
-        client.sendall(submit())
+        client.sendall(submit_bytes())
         disconnect(client)  # the listener has not run since the connection was established
         while not listener.tasks:
             await asyncio.sleep(0)
         await until(lambda: not listener.tasks)
-        assert handler.taken == []
+        assert handler.received_ids == []
         client.close()
 
     run_with_listener(scenario)
 
 
-class ConnectedHarness(HandPlayed):
+class ConnectedHarness(DispatcherHarness):
     """A harness with open connections to workers: a job is sent in the turn in which it may be."""
 
     def __init__(self) -> None:
@@ -119,27 +130,27 @@
 
     async def run() -> None:
         harness, address = ConnectedHarness(), free_address()
-        harness.node.listener.listen(address)
+        harness.dispatcher.listener.listen(address)
         for worker in ("w0", "w1", "w2"):
-            harness.list(worker, EndpointState.DRAINING)
+            harness.update_endpoint(worker, EndpointState.DRAINING)
         client = socket.create_connection(address)
-        client.sendall(submit(Req_Deadline="3000m"))
-        await until(lambda: harness.node.registry.open_requests)
-        await harness.settle()
+        client.sendall(submit_bytes(Req_Deadline="3000m"))
+        await until(lambda: harness.dispatcher.registry.open_requests)
+        await harness.run_pending_tasks()
         disconnect(client)
-        harness.list("w1", EndpointState.READY)  # the dispatcher has not run in between
-        await until(lambda: not harness.node.registry.open_requests)
+        harness.update_endpoint("w1", EndpointState.READY)  # the dispatcher has not run in between
+        await until(lambda: not harness.dispatcher.registry.open_requests)
         assert harness.begun == []
 
         client = socket.create_connection(address)
-        client.sendall(submit(Req_Id="a2", Req_Deadline="3000m"))
+        client.sendall(submit_bytes(Req_Id="a2", Req_Deadline="3000m"))
         await until(lambda: harness.begun)
-        harness.list("w2", EndpointState.READY)
+        harness.update_endpoint("w2", EndpointState.READY)
         disconnect(client)
-        harness.asked[-1].end(AttemptOutcome.RESET)  # a retry would be sent to another worker
-        await until(lambda: not harness.node.registry.open_requests)
+        harness.exchanges[-1].end(AttemptOutcome.RESET)  # a retry would be sent to another worker
+        await until(lambda: not harness.dispatcher.registry.open_requests)
         assert harness.begun == ["POST w1"]
-        await harness.node.listener.stop()
+        await harness.dispatcher.listener.stop()
 
     asyncio.run(run())
 
@@ -155,23 +166,23 @@
     all bytes until the client has ended its side.
     """
 
-    async def scenario(listener: Listener, handler: Clerk, address: Any) -> None:
+    async def scenario(listener: Listener, handler: RequestHandlerStub, address: Any) -> None:
         result = b"x" * 300_000
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(address)
         client.setblocking(False)
-        client.sendall(submit(Req_Deadline="3000m"))
-        await handler.until(1)
+        client.sendall(submit_bytes(Req_Deadline="3000m"))
+        await handler.wait_for_requests(1)
         listener.is_stopping = True
         connection = next(iter(listener.connections))
-        handler.answers[0].set_result(Response(200, result))
+        handler.responses[0].set_result(Response(200, result))
         await until(lambda: connection.state is ConnectionState.LINGERING or connection.writer.is_closing())
-        client.sendall(submit(Req_Id="a2"))
+        client.sendall(submit_bytes(Req_Id="a2"))
         received, loop = b"", asyncio.get_running_loop()
         while piece := await asyncio.wait_for(loop.sock_recv(client, 65536), 10.0):
             received += piece
-        assert received.endswith(b"\r\n\r\n" + result) and handler.taken == ["a1"]
+        assert received.endswith(b"\r\n\r\n" + result) and handler.received_ids == ["a1"]
         client.close()
         await until(lambda: not listener.tasks)
 
@@ -186,7 +197,7 @@
     reset and the request must not be forwarded, so that the client can send it again elsewhere.
     """
 
-    async def scenario(listener: Listener, handler: Clerk, address: Any) -> None:
+    async def scenario(listener: Listener, handler: RequestHandlerStub, address: Any) -> None:
         client = socket.create_connection(address)
         client.setblocking(False)
         await until(lambda: listener.connections)
@@ -194,18 +205,20 @@
         connection.peer = PeerRole.CLIENT  # as by a submission that was answered
         await until(lambda: connection.state is ConnectionState.IDLE)
         if first == "bytes":
-            client.sendall(submit())
+            client.sendall(submit_bytes())
             await listener.wind_down()
-            await handler.until(1)
-            handler.answers[0].set_result(Response(200, b"done"))
+            await handler.wait_for_requests(1)
+            handler.responses[0].set_result(Response(200, b"done"))
         else:
             await listener.wind_down()
-            client.sendall(submit())
+            client.sendall(submit_bytes())
         received, loop = b"", asyncio.get_running_loop()
         while piece := await asyncio.wait_for(loop.sock_recv(client, 65536), 10.0):
             received += piece
         # Without a response, the connection ends without a reset, and the client sends the request elsewhere.
-        assert received.endswith(b"done") if first == "bytes" else (received, handler.taken) == (b"", [])
+        assert (
+            received.endswith(b"done") if first == "bytes" else (received, handler.received_ids) == (b"", [])
+        )
         client.close()
         await until(lambda: not listener.tasks)
 
@@ -219,7 +232,7 @@
     """
     monkeypatch.setattr("locktide.transport.listener.LINGER_TIMEOUT", 0.05)
 
-    async def scenario(listener: Listener, handler: Clerk, address: Any) -> None:
+    async def scenario(listener: Listener, handler: RequestHandlerStub, address: Any) -> None:
         client = socket.create_connection(address)  # stays idle and never ends its side
         await until(lambda: listener.connections)
         connection = next(iter(listener.connections))
@@ -271,20 +284,20 @@
     closed.
     """
 
-    async def scenario(listener: Listener, handler: Clerk, address: Any) -> None:
+    async def scenario(listener: Listener, handler: RequestHandlerStub, address: Any) -> None:
         clients, loop = [socket.create_connection(address) for _ in range(2)], asyncio.get_running_loop()
         await until(lambda: len(listener.connections) == 2)
         await until(
             lambda: all(connection.state is ConnectionState.IDLE for connection in listener.connections)
         )
-        clients[0].sendall(submit())  # on the connection that has been idle longest
+        clients[0].sendall(submit_bytes())  # on the connection that has been idle longest
         clients.append(socket.create_connection(address))
         for connection in clients:
             connection.setblocking(False)
         # The other connection is closed.
         assert await asyncio.wait_for(loop.sock_recv(clients[1], 1), 5.0) == b""
-        await asyncio.wait_for(handler.until(1), 5.0)
-        handler.answers[0].set_result(Response(200, b"done"))
+        await asyncio.wait_for(handler.wait_for_requests(1), 5.0)
+        handler.responses[0].set_result(Response(200, b"done"))
         assert (await asyncio.wait_for(loop.sock_recv(clients[0], 1000), 5.0)).endswith(b"done")
         for connection in clients:
             connection.close()
@@ -300,17 +313,17 @@
     requests must be accepted as long as there are idle connections to close.
     """
 
-    async def scenario(listener: Listener, handler: Clerk, address: Any) -> None:
+    async def scenario(listener: Listener, handler: RequestHandlerStub, address: Any) -> None:
         idle = [socket.create_connection(address) for _ in range(40)]
         for turn in range(30):
             reader, writer = await asyncio.open_connection(*address)
             if turn % 2:
-                writer.write(call(id="s0", state="started", **{"from": "w"}))
+                writer.write(callback_bytes(id="s0", state="started", **{"from": "w"}))
                 assert (await reader.readline()).startswith(b"HTTP/1.1 204 ")
             else:
-                writer.write(submit(Req_Id=f"s{turn}"))
-                await handler.until(turn // 2 + 1)
-                handler.answers[-1].set_result(Response(200))
+                writer.write(submit_bytes(Req_Id=f"s{turn}"))
+                await handler.wait_for_requests(turn // 2 + 1)
+                handler.responses[-1].set_result(Response(200))
                 assert (await reader.readline()).startswith(b"HTTP/1.1 200 ")
             writer.close()
             idle += [socket.create_connection(address) for _ in range(3)]
@@ -326,10 +339,10 @@
     is left. An exit would lose the request on it. The stop must count this connection as unfinished work.
     """
 
-    async def scenario(listener: Listener, handler: Clerk, address: Any) -> None:
+    async def scenario(listener: Listener, handler: RequestHandlerStub, address: Any) -> None:
         first = socket.create_connection(address)
-        first.sendall(submit())
-        await handler.until(1)
+        first.sendall(submit_bytes())
+        await handler.wait_for_requests(1)
         connection = next(iter(listener.connections))
         second = socket.create_connection(address)
         await until(lambda: listener.descriptors.waiting)
@@ -356,7 +369,7 @@
 
     async def run() -> None:
         harness, stop, was_called, may_respond = (
-            HandPlayed(),
+            DispatcherHarness(),
             asyncio.Event(),
             asyncio.Event(),
             asyncio.Event(),
@@ -371,7 +384,7 @@
             await reader.read()
 
         listening = await asyncio.start_server(agent, "127.0.0.1", 0)
-        node = harness.node
+        node = harness.dispatcher
         node.settings.discovery, node.startup.listen_address = (
             listening.sockets[0].getsockname(),
             free_address(),
@@ -485,20 +498,20 @@
     a cancellation before the attempt ends as reset.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.submit(submission("a"))
-        attempt = await harness.sent("a")
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.submit(submit_request("a"))
+        attempt = await harness.sent_attempt("a")
         if first != "break":  # the job has started: neither a break before the 202 nor a refusal ends it
-            harness.call("a", attempt.worker, "started")
+            harness.receive_callback("a", attempt.worker, "started")
             attempt.end(AttemptOutcome.RESET if first == "callback" else AttemptOutcome.FULL)
         else:
             attempt.end(TransportFailure.INVALID_RESPONSE)  # half a response: the worker may have the job
-        await harness.settle()
-        assert harness.outcomes() == [] and len(harness.asked) == 2
-        message = harness.asked[-1].build()
+        await harness.run_pending_tasks()
+        assert harness.outcomes() == [] and len(harness.exchanges) == 2
+        message = harness.exchanges[-1].build()
         assert message is not None and message.method == "DELETE"
-        harness.asked[-1].reply(204)
-        await harness.settle()
+        harness.exchanges[-1].respond(204)
+        await harness.run_pending_tasks()
         assert harness.outcomes() == [AttemptOutcome.RESET]
 
     run_with_harness(scenario)
@@ -511,25 +524,27 @@
     confirmed a cancellation.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.list("w1", EndpointState.DRAINING)
-        harness.list("w2", EndpointState.DRAINING)
-        harness.node.submit(submission("a", grade="cash"))
-        first = await harness.sent("a")
-        first.reply(202)
-        harness.call("a", "w0", "returned")
-        await harness.settle()
-        request, scheduler = harness.node.registry.open_requests["a"], harness.node.scheduler
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.update_endpoint("w1", EndpointState.DRAINING)
+        harness.update_endpoint("w2", EndpointState.DRAINING)
+        harness.dispatcher.submit(submit_request("a", service_class="cash"))
+        first = await harness.sent_attempt("a")
+        first.respond(202)
+        harness.receive_callback("a", "w0", "returned")
+        await harness.run_pending_tasks()
+        request, scheduler = harness.dispatcher.registry.open_requests["a"], harness.dispatcher.scheduler
         scheduler.endpoints.by_id["w0"].unavailable_until = scheduler.requests.open["a"].not_before = 0
         await until(lambda: len(request.attempts) == 2)  # no other worker is available
-        await harness.settle()
-        assert harness.asked[-1].build() is not None
-        harness.asked[-1].sent()
-        harness.call("a", "w0", "returned")
-        await harness.settle()
-        assert harness.outcomes() == [AttemptOutcome.FULL] and harness.asked[-1].build().method == "DELETE"  # type: ignore
-        harness.asked[-1].reply(204)
-        await harness.settle()
+        await harness.run_pending_tasks()
+        assert harness.exchanges[-1].build() is not None
+        harness.exchanges[-1].on_sent()
+        harness.receive_callback("a", "w0", "returned")
+        await harness.run_pending_tasks()
+        assert (
+            harness.outcomes() == [AttemptOutcome.FULL] and harness.exchanges[-1].build().method == "DELETE"  # type: ignore
+        )
+        harness.exchanges[-1].respond(204)
+        await harness.run_pending_tasks()
         # An at-most-once request is not retried.
         assert (
             harness.outcomes() == [AttemptOutcome.FULL, AttemptOutcome.CONNECTION_CLOSED]
@@ -546,23 +561,25 @@
     time no byte may be sent, and the request must fail at once.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.submit(submission("a", grade="record", patience=6_000_000))
-        first = await harness.sent("a")
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.submit(submit_request("a", service_class="record", timeout=6_000_000))
+        first = await harness.sent_attempt("a")
         first.end(AttemptOutcome.RESET)
-        request = harness.node.registry.open_requests["a"]
+        request = harness.dispatcher.registry.open_requests["a"]
         await until(lambda: len(request.attempts) == 2)
-        await harness.settle()
-        retry = harness.asked[-1]
+        await harness.run_pending_tasks()
+        retry = harness.exchanges[-1]
         sent_at = request.attempts[0].sent_at
         window = next(
-            service_class for service_class in GRADES if service_class.name == "record"
+            service_class for service_class in SERVICE_CLASSES if service_class.name == "record"
         ).deduplication_window
         assert abs(request.attempts[1].send_before - sent_at - window) < 100_000
-        harness.node.clock.offset += (request.attempts[1].send_before - harness.node.clock.now() + 1000) / 1e6
+        harness.dispatcher.clock.offset += (
+            request.attempts[1].send_before - harness.dispatcher.clock.now() + 1000
+        ) / 1e6
         assert retry.build() is None
         retry.end(AttemptOutcome.NEVER_SENT)
-        await harness.settle()
+        await harness.run_pending_tasks()
         assert not request.is_open and request.response.result().status == 502  # the request fails at once
 
     run_with_harness(scenario)
@@ -575,10 +592,10 @@
     too late. It must keep the values of its arrival, whether its attempt is sent before or after the reload.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.submit(submission("a", grade="record", patience=6_000_000))
-        first = await (harness.ordered if stage == "ordered" else harness.sent)("a")
-        config = terms(3, 1, False, 0.4)
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.submit(submit_request("a", service_class="record", timeout=6_000_000))
+        first = await (harness.started_attempt if stage == "ordered" else harness.sent_attempt)("a")
+        config = scheduler_config(3, 1, False, 0.4)
         changed: dict[str, Any] = {
             "effect": Effect.AT_MOST_ONCE,
             "deduplication_window": 0,
@@ -587,22 +604,22 @@
         classes = [replace(service_class, **changed) for service_class in config.service_classes]
         config = replace(config, service_classes=classes)
         here = ("127.0.0.1", 9)
-        harness.node.reload(Start("n0", here, here, 7, 100, 80 << 20, {}, 250_000, 30_000_000, config))
+        harness.dispatcher.reload(Start("n0", here, here, 7, 100, 80 << 20, {}, 250_000, 30_000_000, config))
         if stage == "ordered":
             assert first.build() is not None
-            first.sent()
-        await harness.settle()
+            first.on_sent()
+        await harness.run_pending_tasks()
         first.end(AttemptOutcome.RESET)
-        request = harness.node.registry.open_requests["a"]
+        request = harness.dispatcher.registry.open_requests["a"]
         # The request still has an idempotency key and may be retried.
         await until(lambda: len(request.attempts) == 2)
         window = next(
-            service_class for service_class in GRADES if service_class.name == "record"
+            service_class for service_class in SERVICE_CLASSES if service_class.name == "record"
         ).deduplication_window
         assert abs(request.attempts[1].send_before - request.attempts[0].sent_at - window) < 100_000
-        assert request.deadline - harness.node.clock.now() > 5_000_000
-        assert harness.node.follower.watch_task is not None
-        harness.node.follower.watch_task.cancel()
+        assert request.deadline - harness.dispatcher.clock.now() > 5_000_000
+        assert harness.dispatcher.follower.watch_task is not None
+        harness.dispatcher.follower.watch_task.cancel()
 
     run_with_harness(scenario)
 
@@ -623,15 +640,15 @@
     the time after which a change counts as notified.
     """
     for seed in range(20):
-        checked = Checked(seed, must_ask=True)
-        config = checked.dispatcher.config
+        checked = CheckedScheduler(seed, is_polled=True)
+        config = checked.scheduler.config
         endpoint_list = replace(config.current.endpoint_list, notified_within=6_000_000)
         config.current = replace(config.current, endpoint_list=endpoint_list)
-        checked.list(listed("w0"), kind=ListUpdateKind.CACHED)
+        checked.update_endpoints(endpoint_entry("w0"), kind=ListUpdateKind.CACHED)
         while WatchEndpoints(True) not in checked.pass_time(100_000):
             pass
         for _ in range(4):  # an outage
-            checked.list(kind=kind)
+            checked.update_endpoints(kind=kind)
             failed_at = checked.now
             while WatchEndpoints(True) not in checked.pass_time(20_000):
                 assert checked.now - failed_at <= longest_delay
@@ -644,32 +661,32 @@
     call. Such a call must time out after half of the time after which a change counts as notified.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
+    async def scenario(harness: DispatcherHarness) -> None:
         calls: list[float] = []
 
         async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            calls.append(harness.node.loop.time())
+            calls.append(harness.dispatcher.loop.time())
             await reader.read()
-            calls.append(harness.node.loop.time())
+            calls.append(harness.dispatcher.loop.time())
 
         listening = await asyncio.start_server(silent, "127.0.0.1", 0)
         endpoint_list = EndpointListConfig(True, 10_000_000, notified_within=200_000)
-        config = harness.node.scheduler.config
-        harness.node.settings.endpoint_list = endpoint_list
+        config = harness.dispatcher.scheduler.config
+        harness.dispatcher.settings.endpoint_list = endpoint_list
         config.current = replace(config.current, endpoint_list=endpoint_list)
-        harness.node.settings.discovery = listening.sockets[0].getsockname()
-        harness.node.follower.watch(harness.node.follower.follow())
+        harness.dispatcher.settings.discovery = listening.sockets[0].getsockname()
+        harness.dispatcher.follower.watch(harness.dispatcher.follower.follow())
         await until(lambda: len(calls) == 2)
         # The call may take the wait that it requests (WAIT_MS) and half of the notification time beyond it.
         assert calls[1] - calls[0] < WAIT_MS / 1000 + 1.0
         await until(
             lambda: any(
                 EndpointListUpdate(ListUpdateKind.FETCH_TIMED_OUT, []) in events
-                for _, events in harness.turns
+                for _, events in harness.steps
             )
         )
-        assert harness.node.follower.watch_task is not None
-        harness.node.follower.watch_task.cancel()
+        assert harness.dispatcher.follower.watch_task is not None
+        harness.dispatcher.follower.watch_task.cancel()
         listening.close()
 
     run_with_harness(scenario)
@@ -685,8 +702,8 @@
     fail, with 502 at once.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        scheduler: Any = harness.node.scheduler
+    async def scenario(harness: DispatcherHarness) -> None:
+        scheduler: Any = harness.dispatcher.scheduler
         mechanism = scheduler.load_shedder if where == "queue_timeout" else scheduler.placement
         original = getattr(mechanism, where)
 
@@ -697,11 +714,16 @@
             return original(*arguments)
 
         setattr(mechanism, where, failing)
-        responses = {name: harness.node.submit(submission(name)) for name in ("one", "faulty", "two")}
-        await harness.settle()
+        responses = {
+            name: harness.dispatcher.submit(submit_request(name)) for name in ("one", "faulty", "two")
+        }
+        await harness.run_pending_tasks()
         assert responses["faulty"] is not None and responses["faulty"].result().status == 502
-        assert [len(harness.node.registry.open_requests[name].attempts) for name in ("one", "two")] == [1, 1]
-        assert "faulty" not in harness.node.registry.open_requests and any(
+        assert [len(harness.dispatcher.registry.open_requests[name].attempts) for name in ("one", "two")] == [
+            1,
+            1,
+        ]
+        assert "faulty" not in harness.dispatcher.registry.open_requests and any(
             "injected error" in line for line in harness.lines_logged
         )
 
@@ -713,24 +735,24 @@
     its deadline. The request must get its 502 at once, and the worker a cancellation.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        scheduler: Any = harness.node.scheduler
+    async def scenario(harness: DispatcherHarness) -> None:
+        scheduler: Any = harness.dispatcher.scheduler
 
         def failing(attempt: Any) -> None:
             raise ValueError("injected error")
 
         scheduler.timeouts.check = failing
-        response = harness.node.submit(submission("a"))
-        (await harness.sent("a")).reply(202)
+        response = harness.dispatcher.submit(submit_request("a"))
+        (await harness.sent_attempt("a")).respond(202)
         timers = scheduler.timers.pending
         timer_id = next(timer_id for timer_id, target in timers.items() if target is not TimerPurpose.ROUND)
-        harness.node.bridge.enqueue_event(TimerFired(timer_id))
-        await harness.settle()
+        harness.dispatcher.bridge.enqueue_event(TimerFired(timer_id))
+        await harness.run_pending_tasks()
         assert response is not None and response.result().status == 502
-        assert harness.asked[-1].build().method == "DELETE"  # type: ignore[union-attr]
-        harness.asked[-1].reply(204)
-        await harness.settle()
-        assert not harness.node.registry.open_requests and not scheduler.requests.open
+        assert harness.exchanges[-1].build().method == "DELETE"  # type: ignore[union-attr]
+        harness.exchanges[-1].respond(204)
+        await harness.run_pending_tasks()
+        assert not harness.dispatcher.registry.open_requests and not scheduler.requests.open
 
     run_with_harness(scenario)
 
@@ -741,8 +763,8 @@
     in the observer must only be logged.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        rounds: Any = harness.node.scheduler.rounds
+    async def scenario(harness: DispatcherHarness) -> None:
+        rounds: Any = harness.dispatcher.scheduler.rounds
         original, has_failed = rounds.place_waiting, [False]
 
         def fail_once() -> None:
@@ -755,9 +777,9 @@
             raise ValueError("injected observer error")
 
         rounds.place_waiting = fail_once
-        harness.node.bridge.observers.append(failing_observer)
-        harness.node.submit(submission("a"))
-        await until(lambda: harness.node.registry.open_requests["a"].attempts)  # in the next round
+        harness.dispatcher.bridge.observers.append(failing_observer)
+        harness.dispatcher.submit(submit_request("a"))
+        await until(lambda: harness.dispatcher.registry.open_requests["a"].attempts)  # in the next round
         assert has_failed[0] and any("injected observer error" in line for line in harness.lines_logged)
 
     run_with_harness(scenario)
@@ -780,12 +802,12 @@
 
     monkeypatch.setattr(AttemptRunner, "start_attempt", failing)
 
-    async def scenario(harness: HandPlayed) -> None:
+    async def scenario(harness: DispatcherHarness) -> None:
         for name in ("faulty", "one", "two"):
-            harness.node.submit(submission(name))
-        await harness.settle()
+            harness.dispatcher.submit(submit_request(name))
+        await harness.run_pending_tasks()
         assert [
-            len(harness.node.registry.open_requests[name].attempts) for name in ("faulty", "one", "two")
+            len(harness.dispatcher.registry.open_requests[name].attempts) for name in ("faulty", "one", "two")
         ] == [0, 1, 1]
 
     run_with_harness(scenario)
--- a/tests/dispatcher/test_endpoint_follower.py
+++ b/tests/dispatcher/test_endpoint_follower.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from helpers import HandPlayed, run_story, submission
+from helpers import DispatcherHarness, run_with_dispatcher, submit_request
 
 from locktide.scheduler.types import AttemptOutcome, EndpointState
 
@@ -16,14 +16,14 @@
     that the worker has restarted or is gone; a drain must close none.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.list("w0", EndpointState.DRAINING)
-        assert harness.forgotten == []
-        harness.list("w0", EndpointState.READY, started_at=5)
-        harness.list("w1", EndpointState.GONE)
-        assert harness.forgotten == ["w0", "w1"]
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.update_endpoint("w0", EndpointState.DRAINING)
+        assert harness.idle_closed_workers == []
+        harness.update_endpoint("w0", EndpointState.READY, started_at=5)
+        harness.update_endpoint("w1", EndpointState.GONE)
+        assert harness.idle_closed_workers == ["w0", "w1"]
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
 
 
 def test_attempt_sent_before_its_worker_restarted_is_cancelled_and_a_later_one_is_not() -> None:
@@ -33,28 +33,34 @@
     and end when the new process has replied; an attempt sent after the restart must not be cancelled.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        harness.node.submit(submission("a"))
-        attempt = await harness.sent("a")
-        attempt.reply(202)
-        await harness.settle()
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.dispatcher.submit(submit_request("a"))
+        attempt = await harness.sent_attempt("a")
+        attempt.respond(202)
+        await harness.run_pending_tasks()
         # The worker started before the attempt was sent.
-        harness.list(attempt.worker, EndpointState.READY, started_at=harness.node.clock.now() - 1_000_000)
-        await harness.settle()
+        harness.update_endpoint(
+            attempt.worker, EndpointState.READY, started_at=harness.dispatcher.clock.now() - 1_000_000
+        )
+        await harness.run_pending_tasks()
         assert harness.outcomes() == []
-        harness.list(attempt.worker, EndpointState.READY, started_at=harness.node.clock.now() + 1)
+        harness.update_endpoint(
+            attempt.worker, EndpointState.READY, started_at=harness.dispatcher.clock.now() + 1
+        )
         # Listed twice, but cancelled once.
-        harness.list(attempt.worker, EndpointState.READY, started_at=harness.node.clock.now() + 1)
-        await harness.settle()
-        message = harness.asked[-1].build()
-        assert harness.outcomes() == [] and len(harness.asked) == 2
+        harness.update_endpoint(
+            attempt.worker, EndpointState.READY, started_at=harness.dispatcher.clock.now() + 1
+        )
+        await harness.run_pending_tasks()
+        message = harness.exchanges[-1].build()
+        assert harness.outcomes() == [] and len(harness.exchanges) == 2
         assert message is not None and (message.method, message.target) == ("DELETE", "/jobs/a")
-        harness.asked[-1].reply(404)
-        await harness.settle()
+        harness.exchanges[-1].respond(404)
+        await harness.run_pending_tasks()
         # The request is sent again.
-        assert harness.outcomes() == [AttemptOutcome.CONNECTION_CLOSED] and len(harness.asked) == 3
+        assert harness.outcomes() == [AttemptOutcome.CONNECTION_CLOSED] and len(harness.exchanges) == 3
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
 
 
 def test_reload_between_the_stop_and_the_close_of_a_follower_begins_no_watch() -> None:
@@ -64,12 +70,12 @@
     the process stayed until it was killed. No watch may start after the stop.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        follower = harness.node.follower
+    async def scenario(harness: DispatcherHarness) -> None:
+        follower = harness.dispatcher.follower
         follower.stop()
         follower.restart()
         closing = asyncio.ensure_future(follower.close())
         done, _ = await asyncio.wait([closing], timeout=1)
         assert done, "close waits for a watch that never ends"
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
--- a/tests/dispatcher/test_event_orders.py
+++ b/tests/dispatcher/test_event_orders.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from rig import play
+from rig import run_events
 
 from locktide.dispatcher.cancellation_delivery import CancellationDelivery
 from locktide.dispatcher.endpoint_list import EndpointListHandler
@@ -64,8 +64,8 @@
     or a stated loss, no job may have a second copy, no draining worker may get a new job, and no
     connection, request or task may be left open at the end.
     """
-    rig = play([(first, 0, 0.0), (first, 0, 0.0), *events])
-    assert rig.faults == []
+    rig = run_events([(first, 0, 0.0), (first, 0, 0.0), *events])
+    assert rig.violations == []
 
 
 def events_of(*words: str) -> list[tuple[str, int, float]]:
@@ -132,7 +132,7 @@
     kind: str, where: Any, name: str, faulty: Any, events: list[Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Check that the oracle can fail: it finds nothing without a fault, and with each fault its violation."""
-    assert play(events).faults == []
+    assert run_events(events).violations == []
     monkeypatch.setattr(where, name, faulty)
-    found = play(events).faults
+    found = run_events(events).violations
     assert any(fault.split()[1].startswith(kind) for fault in found), found
--- a/tests/dispatcher/test_list_notifications.py
+++ b/tests/dispatcher/test_list_notifications.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import HandPlayed, begin, free_address, submit
+from helpers import DispatcherHarness, free_address, start_dispatcher_process, submit_bytes
 
 from locktide.protocol import discovery
 from locktide.scheduler.types import EndpointState
@@ -121,8 +121,8 @@
     """
 
     async def run() -> None:
-        agent, harness, stop = Agent(), HandPlayed(), asyncio.Event()
-        agent.changed, agent.silent, node = ("w0", "w1"), silent, harness.node
+        agent, harness, stop = Agent(), DispatcherHarness(), asyncio.Event()
+        agent.changed, agent.silent, node = ("w0", "w1"), silent, harness.dispatcher
         node.upstream.close_expired = lambda: None  # type: ignore[method-assign]
         listening = await asyncio.start_server(agent.serve, "127.0.0.1", 0)
         node.settings.discovery, node.startup.listen_address = (
@@ -146,7 +146,7 @@
     The stop had ended by then and closed the connection without a response. The stop must wait for a
     connection that was just opened, and the request on it must get a response.
     """
-    process, address, worker = begin(tmp_path)
+    process, address, worker = start_dispatcher_process(tmp_path)
 
     async def run() -> None:
         await asyncio.sleep(0.05)
@@ -154,7 +154,7 @@
         await asyncio.sleep(0.2)
         reader, writer = await asyncio.open_connection(*address)
         await asyncio.sleep(0.9)
-        writer.write(submit(Req_Deadline="300m"))
+        writer.write(submit_bytes(Req_Deadline="300m"))
         assert (await reader.read(20)).startswith(b"HTTP/1.1 50")
         writer.close()
 
--- a/tests/dispatcher/test_many_dispatchers.py
+++ b/tests/dispatcher/test_many_dispatchers.py
@@ -9,8 +9,16 @@
 from typing import Any
 
 import pytest
-from helpers import COLD, STEP, Checked, HandPlayed, free_address, listed, terms
-from helpers import submission as submission_of
+from helpers import (
+    ROUND_INTERVAL,
+    SLOW_START,
+    CheckedScheduler,
+    DispatcherHarness,
+    endpoint_entry,
+    free_address,
+    scheduler_config,
+    submit_request,
+)
 
 from locktide.config import start
 from locktide.protocol import discovery, names
@@ -35,12 +43,15 @@
     """
     service = CallCapacity(150_000, 2_000_000)
     events: list[tuple[int, int, Event]] = []
-    fleet = [Scheduler(seed * 100 + number, terms(4, 40, True, 0.0, live=True)) for number in range(40)]
+    fleet = [
+        Scheduler(seed * 100 + number, scheduler_config(4, 40, True, 0.0, has_live_ratings=True))
+        for number in range(40)
+    ]
     for scheduler in fleet:
         endpoint_list = replace(scheduler.config.current.endpoint_list, notified_within=notified_within)
         scheduler.config.current = replace(scheduler.config.current, endpoint_list=endpoint_list)
     for number in range(40):
-        heappush(events, (0, number, EndpointListUpdate(ListUpdateKind.CACHED, [listed("w")])))
+        heappush(events, (0, number, EndpointListUpdate(ListUpdateKind.CACHED, [endpoint_entry("w")])))
     received_at: dict[int, int] = {}
     while events:
         now, number, event = heappop(events)
@@ -50,7 +61,9 @@
             received_at[number] = now
         for command in fleet[number].step(now, [event]):
             if type(command) is SetTimer:
-                heappush(events, (now + max(STEP, command.delay), number, TimerFired(command.timer_id)))
+                heappush(
+                    events, (now + max(ROUND_INTERVAL, command.delay), number, TimerFired(command.timer_id))
+                )
             elif command == WatchEndpoints(True):
                 responded_at, succeeded = service.call(now)
                 heappush(
@@ -77,18 +90,18 @@
     """
     jobs_at = dict.fromkeys([f"cold{n}" for n in range(cold)], 0)
     for seed in range(40):
-        checked = Checked(seed, fleet=40)
-        new_workers = [listed(name, started_at=checked.now) for name in jobs_at]
-        checked.list(*new_workers, *[listed(f"warm{n}") for n in range(warm)])
+        checked = CheckedScheduler(seed, dispatcher_count=40)
+        new_workers = [endpoint_entry(name, started_at=checked.now) for name in jobs_at]
+        checked.update_endpoints(*new_workers, *[endpoint_entry(f"warm{n}") for n in range(warm)])
         for request_number in range(requests_each):
-            checked.arrive(request_number, "close", hint=300_000)
-            checked.pass_time(STEP)
-        for request_number, attempt in checked.out():
-            worker = checked.dispatches[request_number][attempt]["worker"]
+            checked.arrive(request_number, "close", work_hint=300_000)
+            checked.pass_time(ROUND_INTERVAL)
+        for request_number, attempt in checked.running_attempts():
+            worker = checked.attempts[request_number][attempt]["worker"]
             if worker in jobs_at:
                 jobs_at[worker] += 1
     # Number of such requests that a worker can take in a window: two slots, at 0.3 of their capacity.
-    capacity = COLD.overload_factor * COLD.window * COLD.initial_capacity * 2 / 300_000
+    capacity = SLOW_START.overload_factor * SLOW_START.window * SLOW_START.initial_capacity * 2 / 300_000
     assert sum(jobs_at.values()) > 0.3 * min(cold * capacity, 40 * requests_each)
     assert sum(jobs_at.values()) <= 0.55 * cold * capacity and max(jobs_at.values()) <= capacity
 
@@ -99,28 +112,30 @@
     They must wait for the zone, with a few attempts per second at each worker, and be done once it has
     returned.
     """
-    checked = Checked(fleet=40)
-    config = checked.dispatcher.config
+    checked = CheckedScheduler(dispatcher_count=40)
+    config = checked.scheduler.config
     config.current = replace(config.current, retry=replace(config.current.retry, counts_unsent=False))
     names = ["w0", "w1", "w2"]
-    checked.list(*[listed(name) for name in names])
+    checked.update_endpoints(*[endpoint_entry(name) for name in names])
     checked.arrive(1, "record")
-    checked.end(1, 0, AttemptOutcome.RESET)
+    checked.end_attempt(1, 0, AttemptOutcome.RESET)
     failures = 0
-    for _ in range(2_500_000 // STEP):
-        for request_number, attempt in checked.out():
+    for _ in range(2_500_000 // ROUND_INTERVAL):
+        for request_number, attempt in checked.running_attempts():
             failures += 1
-            checked.end(request_number, attempt, AttemptOutcome.NO_CONNECTION)
-        checked.pass_time(STEP)
-    assert not checked.answered
+            checked.end_attempt(request_number, attempt, AttemptOutcome.NO_CONNECTION)
+        checked.pass_time(ROUND_INTERVAL)
+    assert not checked.finished
     assert 3 < failures <= 3 * 11, "more than four attempts a second at a worker"
-    warm = checked.now - COLD.warmup
-    checked.list(*[listed(name, started_at=warm) for name in names], kind=ListUpdateKind.DELTA)
-    for _ in range(1_400_000 // STEP):
-        checked.pass_time(STEP)
-        for request_number, attempt in checked.out():
-            checked.end(request_number, attempt, AttemptOutcome.DONE)
-    assert checked.answered[1] == "done"
+    warm = checked.now - SLOW_START.warmup
+    checked.update_endpoints(
+        *[endpoint_entry(name, started_at=warm) for name in names], kind=ListUpdateKind.DELTA
+    )
+    for _ in range(1_400_000 // ROUND_INTERVAL):
+        checked.pass_time(ROUND_INTERVAL)
+        for request_number, attempt in checked.running_attempts():
+            checked.end_attempt(request_number, attempt, AttemptOutcome.DONE)
+    assert checked.finished[1] == "done"
 
 
 def test_on_sockets_only_attempts_that_were_sent_count_towards_the_limit() -> None:
@@ -131,27 +146,27 @@
     """
 
     async def run() -> None:
-        harness = HandPlayed()
-        harness.node.submit(submission_of("a"))
+        harness = DispatcherHarness()
+        harness.dispatcher.submit(submit_request("a"))
         for number in range(3):  # the maximum attempts
-            await harness.settle()
-            assert len(harness.asked) == number + 1
-            harness.asked[number].end(AttemptOutcome.NO_CONNECTION)
-        await harness.settle()
-        assert harness.node.registry.open_requests["a"].is_open, "rejected while it could still be sent"
+            await harness.run_pending_tasks()
+            assert len(harness.exchanges) == number + 1
+            harness.exchanges[number].end(AttemptOutcome.NO_CONNECTION)
+        await harness.run_pending_tasks()
+        assert harness.dispatcher.registry.open_requests["a"].is_open, "rejected while it could still be sent"
 
     asyncio.run(run())
 
 
-def polling_harness() -> HandPlayed:
-    harness = HandPlayed()
+def polling_harness() -> DispatcherHarness:
+    harness = DispatcherHarness()
     set_endpoint_list_config(harness, EndpointListConfig(True, 200_000))
     return harness
 
 
-def set_endpoint_list_config(harness: HandPlayed, config: EndpointListConfig) -> None:
-    harness.node.settings.endpoint_list = config
-    active = harness.node.scheduler.config
+def set_endpoint_list_config(harness: DispatcherHarness, config: EndpointListConfig) -> None:
+    harness.dispatcher.settings.endpoint_list = config
+    active = harness.dispatcher.scheduler.config
     active.current = replace(active.current, endpoint_list=config)
 
 
@@ -187,7 +202,7 @@
     async def run() -> None:
         harness = polling_harness()
         targets: list[str] = []
-        node = harness.node
+        node = harness.dispatcher
         listening = await start_agent([BUSY, list_response(2, False)], targets)
         node.settings.discovery = listening.sockets[0].getsockname()
         node.follower.watch(node.follower.follow_when_requested())
@@ -195,7 +210,7 @@
         assert not targets, "called before the scheduler requested it"
         node.follower.watch_requested.set()
         failed = EndpointListUpdate(ListUpdateKind.FETCH_FAILED, [])
-        while not any(failed in events for _, events in harness.turns):
+        while not any(failed in events for _, events in harness.steps):
             await asyncio.sleep(0.002)
         assert targets == [AFTER % 1] and not node.follower.watch_requested.is_set()
         while len(targets) < 2:  # after the delay that the scheduler chooses
@@ -273,20 +288,20 @@
     async def run() -> None:
         harness = polling_harness()
         targets: list[str] = []
-        node = harness.node
+        node = harness.dispatcher
         set_endpoint_list_config(harness, EndpointListConfig(True, 20_000))
         listening = await start_agent([], targets)
         node.settings.discovery = listening.sockets[0].getsockname()
         node.follower.watch_requested.set()
         node.follower.watch(node.follower.follow_when_requested())
-        node.submit(submission_of("a"))
-        assert (await harness.sent("a")).worker in ("w0", "w1", "w2")  # from the cached list
+        node.submit(submit_request("a"))
+        assert (await harness.sent_attempt("a")).worker in ("w0", "w1", "w2")  # from the cached list
         for _ in range(200):
             await asyncio.sleep(0.005)
             if len(targets) == 4:
                 break
         failed = EndpointListUpdate(ListUpdateKind.FETCH_TIMED_OUT, [])
-        failure_count = sum(failed in events for _, events in harness.turns)
+        failure_count = sum(failed in events for _, events in harness.steps)
         assert len(targets) == 4 and 3 <= failure_count <= 4, "one call for each command of the scheduler"
         assert node.follower.watch_task is not None
         node.follower.watch_task.cancel()
@@ -330,16 +345,16 @@
     async def run() -> None:
         harness = polling_harness()
         targets: list[str] = []
-        node = harness.node
+        node = harness.dispatcher
         listening = await start_agent([BUSY, list_response(7, True)], targets)
         address = listening.sockets[0].getsockname()
-        settings = terms(3, 1, True, 0.4)
+        settings = scheduler_config(3, 1, True, 0.4)
         node.reload(start.Start("n0", address, address, 7, 100, 80 << 20, {}, 250_000, 30_000_000, settings))
         while len(targets) < 3:
             await asyncio.sleep(0.002)
         assert targets == [names.INSTANCES, names.INSTANCES, AFTER % 7]
         assert EndpointListUpdate(ListUpdateKind.FETCH_FAILED, []) in [
-            event for _, events in harness.turns for event in events
+            event for _, events in harness.steps for event in events
         ]
         assert node.follower.watch_task is not None
         node.follower.watch_task.cancel()
@@ -356,16 +371,20 @@
     """
 
     async def run() -> None:
-        harness = HandPlayed()
-        address = harness.node.endpoints.addresses["w0"]
-        gone = [listed(name, EndpointState.GONE) for name in ("w0", "w1", "w2")]
+        harness = DispatcherHarness()
+        address = harness.dispatcher.endpoints.addresses["w0"]
+        gone = [endpoint_entry(name, EndpointState.GONE) for name in ("w0", "w1", "w2")]
         addresses = dict.fromkeys(["w0", "w1", "w2", "w9"], address)
-        harness.node.endpoint_list.apply(
-            discovery.DiscoveryUpdate(2, False, [*gone, listed("w9")], addresses)
+        harness.dispatcher.endpoint_list.apply(
+            discovery.DiscoveryUpdate(2, False, [*gone, endpoint_entry("w9")], addresses)
         )
-        harness.node.submit(submission_of("a"))
-        assert (await harness.sent("a")).worker == "w9"
-        assert set(harness.forgotten) >= {"w0", "w1", "w2"}, "idle connections to replaced workers stay open"
+        harness.dispatcher.submit(submit_request("a"))
+        assert (await harness.sent_attempt("a")).worker == "w9"
+        assert set(harness.idle_closed_workers) >= {
+            "w0",
+            "w1",
+            "w2",
+        }, "idle connections to replaced workers stay open"
 
     asyncio.run(run())
 
@@ -382,7 +401,7 @@
         harness = polling_harness()
         targets: list[str] = []
         stop = asyncio.Event()
-        node = harness.node
+        node = harness.dispatcher
         node.upstream.close_expired = lambda: None  # type: ignore[method-assign]
         listening = await start_agent([], targets)
         node.settings.discovery, node.startup.listen_address = (
@@ -391,13 +410,13 @@
         )
         running = asyncio.create_task(node.run(stop))
         await asyncio.sleep(0.01)
-        response = node.submit(submission_of("a"))
-        attempt = await harness.sent("a")
+        response = node.submit(submit_request("a"))
+        attempt = await harness.sent_attempt("a")
         stop.set()
         await asyncio.sleep(0.05)
         assert not running.done(), "it stops while a request is open"
-        attempt.reply(202)
-        harness.call("a", attempt.worker, "done", b"milk")
+        attempt.respond(202)
+        harness.receive_callback("a", attempt.worker, "done", b"milk")
         await asyncio.wait_for(running, 2.0)
         assert response is not None and response.result().status == 200
         listening.close()
--- a/tests/dispatcher/test_process.py
+++ b/tests/dispatcher/test_process.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from helpers import TAKEN, begin, call, submit
+from helpers import ACCEPTED_RESPONSE, callback_bytes, start_dispatcher_process, submit_bytes
 
 
 def test_process_serves_and_at_sigterm_finishes_and_exits_with_0(tmp_path: Path) -> None:
@@ -21,25 +21,27 @@
     It must accept connections for a while longer, send each request its response, end idle connections, and
     exit with 0.
     """
-    process, address, listening = begin(tmp_path)
+    process, address, listening = start_dispatcher_process(tmp_path)
     try:
         with socket.create_connection(address) as idle_client:
             idle_client.sendall(b"GET /health/ready HTTP/1.1\r\nHost: us\r\n\r\n")
             assert idle_client.recv(100).startswith(b"HTTP/1.1 200 ")
             waiting_client = socket.create_connection(address)
-            waiting_client.sendall(submit(Req_Id="a", Req_Deadline="9000m"))
+            waiting_client.sendall(submit_bytes(Req_Id="a", Req_Deadline="9000m"))
             worker, _ = listening.accept()
             assert b"Req-Id: a\r\n" in worker.recv(65536)
-            worker.sendall(TAKEN % 0)
+            worker.sendall(ACCEPTED_RESPONSE % 0)
             process.send_signal(signal.SIGTERM)
             late_client = socket.create_connection(address)  # clients open new connections for a while
-            late_client.sendall(submit(Req_Id="b", Req_Deadline="9000m"))
+            late_client.sendall(submit_bytes(Req_Id="b", Req_Deadline="9000m"))
             assert b"Req-Id: b\r\n" in worker.recv(65536)  # on the connection that was opened for request a
-            worker.sendall(TAKEN % 0)
+            worker.sendall(ACCEPTED_RESPONSE % 0)
             assert idle_client.recv(100) == b""  # was idle
         with socket.create_connection(address) as callback_client:
             for client, name, result in [(late_client, "b", "cheese"), (waiting_client, "a", "milk")]:
-                callback_client.sendall(call(id=name, state="done", result=result, **{"from": "w0"}))
+                callback_client.sendall(
+                    callback_bytes(id=name, state="done", result=result, **{"from": "w0"})
+                )
                 assert callback_client.recv(100).startswith(b"HTTP/1.1 204 ")
                 response = b""
                 while piece := client.recv(1000):  # to its end: the connection is closed after the response
@@ -59,7 +61,8 @@
     At SIGHUP the process must follow the list at the new address, which counts versions on its own. A faulty
     file must change nothing, and its fault must be logged.
     """
-    process, _, worker = begin(tmp_path, discovery="127.0.0.1:9")  # also set by the environment variable
+    # The address of the discovery service is also set by the environment variable.
+    process, _, worker = start_dispatcher_process(tmp_path, discovery="127.0.0.1:9")
     path, log = tmp_path / "start.json", process.stderr
     settings = json.loads(path.read_text())
     assert log is not None
--- a/tests/dispatcher/test_settings.py
+++ b/tests/dispatcher/test_settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from helpers import HandPlayed, run_story, submission, terms
+from helpers import DispatcherHarness, run_with_dispatcher, scheduler_config, submit_request
 
 from locktide.config.start import Start
 from locktide.scheduler.commands import FailRequest
@@ -20,17 +20,19 @@
     the longest timeout so far.
     """
 
-    async def scenario(harness: HandPlayed) -> None:
-        longest_timeout = harness.node.settings.longest_timeout
-        harness.node.submit(submission("a"))
-        config = terms(3, 1, False, 0.4)
+    async def scenario(harness: DispatcherHarness) -> None:
+        longest_timeout = harness.dispatcher.settings.longest_timeout
+        harness.dispatcher.submit(submit_request("a"))
+        config = scheduler_config(3, 1, False, 0.4)
         shorter = [replace(service_class, timeout=50_000) for service_class in config.service_classes]
         config = replace(config, service_classes=shorter)
-        harness.node.updater.apply(Start("n0", HERE, HERE, 7, 100, 80 << 20, {}, 250_000, 30_000_000, config))
-        assert set(harness.node.listener.timeouts.values()) == {50_000}
-        before = harness.node.loop.time()
-        harness.node.bridge.execute(FailRequest("a"))
-        await harness.settle()
-        assert harness.node.registry.answered_ids["a"] - before >= longest_timeout / 1e6 > 0.05
-
-    run_story(scenario)
+        harness.dispatcher.updater.apply(
+            Start("n0", HERE, HERE, 7, 100, 80 << 20, {}, 250_000, 30_000_000, config)
+        )
+        assert set(harness.dispatcher.listener.timeouts.values()) == {50_000}
+        before = harness.dispatcher.loop.time()
+        harness.dispatcher.bridge.execute(FailRequest("a"))
+        await harness.run_pending_tasks()
+        assert harness.dispatcher.registry.answered_ids["a"] - before >= longest_timeout / 1e6 > 0.05
+
+    run_with_dispatcher(scenario)
--- a/tests/dispatcher/test_shutdown.py
+++ b/tests/dispatcher/test_shutdown.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from helpers import HandPlayed, free_address, run_story, submission
+from helpers import DispatcherHarness, free_address, run_with_dispatcher, submit_request
 
 CONNECT_WITHIN = 5_000_000  # microseconds: long enough that no send of a cancellation times out here
 
@@ -20,8 +20,8 @@
     """
     monkeypatch.setattr("locktide.dispatcher.shutdown.ACCEPT_AFTER_STOP", 0.0)
 
-    async def scenario(harness: HandPlayed) -> None:
-        node, stop = harness.node, asyncio.Event()
+    async def scenario(harness: DispatcherHarness) -> None:
+        node, stop = harness.dispatcher, asyncio.Event()
         node.upstream.close_expired = lambda: None  # type: ignore[method-assign]
         node.settings.connect_within = CONNECT_WITHIN
         node.startup.listen_address = free_address()
@@ -29,17 +29,17 @@
         running = asyncio.create_task(node.run(stop))
         while not node.is_ready():
             await asyncio.sleep(0.001)
-        node.submit(submission("a"))
-        (await harness.sent("a")).reply(202)
-        await harness.settle()
+        node.submit(submit_request("a"))
+        (await harness.sent_attempt("a")).respond(202)
+        await harness.run_pending_tasks()
         node.client_disconnected(node.registry.open_requests["a"].message)
-        await harness.settle()
-        cancellation = harness.asked[-1].build()
+        await harness.run_pending_tasks()
+        cancellation = harness.exchanges[-1].build()
         assert cancellation is not None and cancellation.method == "DELETE"
         stop.set()
         done, _ = await asyncio.wait([running], timeout=0.2)  # ten times the interval of its checks
         assert not done, "the job would stay at its worker"
-        harness.asked[-1].reply(204)
+        harness.exchanges[-1].respond(204)
         await asyncio.wait_for(running, 5.0)
 
-    run_story(scenario)
+    run_with_dispatcher(scenario)
--- a/tests/dispatcher/test_time_told.py
+++ b/tests/dispatcher/test_time_told.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from rig import Rig, play
+from rig import Rig, run_events
 
 from locktide.dispatcher import job_sender
 from locktide.dispatcher.requests import RequestService
@@ -67,7 +67,7 @@
 
 
 def overstated_times(rig: Rig) -> list[str]:
-    return [fault for fault in rig.faults if "told:" in fault]
+    return [fault for fault in rig.violations if "stated:" in fault]
 
 
 @pytest.mark.parametrize("hold", [hold_before_write, hold_before_read])
@@ -82,7 +82,7 @@
     attempt or a retry.
     """
     hold(monkeypatch, seconds)
-    rig = play(RETRIES)
+    rig = run_events(RETRIES)
     assert len(rig.jobs) >= 2, "there was a retry"
     assert overstated_times(rig) == []
 
@@ -101,7 +101,7 @@
     """
     hold(monkeypatch, seconds)
     hold_before_write(monkeypatch, before_write)
-    rig = play(RETRIES)
+    rig = run_events(RETRIES)
     assert len(rig.jobs) >= 2, "there was a retry"
     assert overstated_times(rig) == []
 
@@ -120,9 +120,9 @@
     """Under heavy load, workers got too much remaining time, and no log said whether the process had been
     held up or had a bug. A long hold of a request must be logged, and nothing must be logged without one.
     """
-    assert not [line for line in play(RETRIES).lines if "held up" in line]
+    assert not [line for line in run_events(RETRIES).log_lines if "held up" in line]
     hold(monkeypatch, ALLOWED_HOLD)
-    assert f"request r0: held up for 0.150 s before {step}" in play(RETRIES).lines
+    assert f"request r0: held up for 0.150 s before {step}" in run_events(RETRIES).log_lines
 
 
 @pytest.mark.parametrize("hold", [hold_before_write, hold_before_read, hold_in_kernel])
@@ -134,5 +134,5 @@
     """
     monkeypatch.setattr(SubmitRequest, "time_left", lambda request, now: request.timeout)
     hold(monkeypatch, FORMER_HOLD)
-    rig = play(RETRIES)
+    rig = run_events(RETRIES)
     assert len(overstated_times(rig)) == len(rig.jobs)
--- a/tests/durable/test_recovery.py
+++ b/tests/durable/test_recovery.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from durable_helpers import SECOND, accepted_job, granted_lease
-from helpers import listed, terms
+from helpers import endpoint_entry, scheduler_config
 
 from locktide.durable import recovery
 from locktide.durable.jobs import JobTable
@@ -126,10 +126,10 @@
     *attempts: RecoveredAttempt, service_class: str = "record", seconds: float = 2.0
 ) -> list[Any]:
     """Return the commands of a scheduler for a recovered request, within `seconds` after the recovery."""
-    config = terms(most=3, fleet=1, must_ask=False, worst_grade=0.4)
+    config = scheduler_config(max_attempts=3, dispatcher_count=1, is_polled=False, worst_class_weight=0.4)
     scheduler = Scheduler(1, config)
     now = NOW
-    entries = [listed("w0"), listed("w1", cell=1), listed("w2")]
+    entries = [endpoint_entry("w0"), endpoint_entry("w1", cell=1), endpoint_entry("w2")]
     scheduler.step(now, [EndpointListUpdate(ListUpdateKind.SNAPSHOT, entries)])
     arrival = RequestArrived("a", service_class, now + 5 * SECOND, background=True)
     commands = scheduler.step(now, [RequestRecovered(arrival, now - SECOND, list(attempts))])
--- a/tests/protocol/test_client_connection.py
+++ b/tests/protocol/test_client_connection.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from helpers import TAKEN
+from helpers import ACCEPTED_RESPONSE
 
 from locktide.protocol.client_connection import ClientHttpConnection, UpstreamRequest
 from locktide.protocol.errors import ProtocolError
@@ -17,7 +17,7 @@
     for body in (b"", b"abc", b"x" * 5000):
         request = b"".join(http.encode_request(UpstreamRequest("POST", "/view", [], b"job")))
         assert request.endswith(b"\r\n\r\njob") and not http.is_idle
-        data = b"HTTP/1.1 100 Continue\r\n\r\n" + TAKEN % len(body) + body
+        data = b"HTTP/1.1 100 Continue\r\n\r\n" + ACCEPTED_RESPONSE % len(body) + body
         response = None
         while data:
             assert response is None
@@ -26,7 +26,7 @@
         assert response is not None and (response.status, response.body) == (202, body) and http.is_idle
 
 
-@pytest.mark.parametrize("data", [b"", b"nonsense\r\n\r\n", TAKEN % 9 + b"half"])
+@pytest.mark.parametrize("data", [b"", b"nonsense\r\n\r\n", ACCEPTED_RESPONSE % 9 + b"half"])
 def test_response_that_breaks_off_is_a_protocol_error(data: bytes) -> None:
     """A worker dies while it responds, or something that is no HTTP server listens on its port.
 
@@ -61,7 +61,7 @@
     """
     http = ClientHttpConnection("w:1")
     http.encode_request(UpstreamRequest("GET", "/", []))
-    assert http.feed(TAKEN % 0 + b"HTTP/1.1 200") is not None
+    assert http.feed(ACCEPTED_RESPONSE % 0 + b"HTTP/1.1 200") is not None
     assert http.has_unparsed_bytes and not http.is_idle
 
 
@@ -72,6 +72,6 @@
     """
     http = ClientHttpConnection("w:1", max_body_size=10)
     http.encode_request(UpstreamRequest("GET", "/", []))
-    assert http.feed(TAKEN % 20 + b"x" * 10) is None
+    assert http.feed(ACCEPTED_RESPONSE % 20 + b"x" * 10) is None
     with pytest.raises(ProtocolError, match="w:1: its response has over 10 bytes"):
         http.feed(b"x")
--- a/tests/protocol/test_server_connection.py
+++ b/tests/protocol/test_server_connection.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from helpers import call, post, submit
+from helpers import callback_bytes, post_bytes, submit_bytes
 
 from locktide.protocol import worker_messages
 from locktide.protocol.client_connection import ClientHttpConnection
@@ -46,7 +46,7 @@
     http = ServerHttpConnection(TIMEOUTS, KEYED_CLASSES)
     for number, body in enumerate(bodies):
         for data in (
-            submit(
+            submit_bytes(
                 f"/record?obj={number}",
                 body,
                 Req_Id=f"id{number}",
@@ -55,7 +55,7 @@
                 Req_Retry="1",
                 X_Note="caf\xe9",
             ),
-            call(id=f"id{number}", **{"from": "w"}, state="running", share=0.25),
+            callback_bytes(id=f"id{number}", **{"from": "w"}, state="running", share=0.25),
         ):
             messages, written = exchange_messages(data, generator, http)
             received += messages
@@ -103,7 +103,9 @@
     is reserved for overload, and must not be the response either.
     """
     generator = random.Random(seed)
-    data = bytearray(submit(body=b"x" * 30) + call(id="a", **{"from": "w"}, state="done", result="r"))
+    data = bytearray(
+        submit_bytes(body=b"x" * 30) + callback_bytes(id="a", **{"from": "w"}, state="done", result="r")
+    )
     for _ in range(generator.randint(1, 12)):
         data[generator.randrange(len(data))] = generator.randrange(256)
     for message in exchange_messages(bytes(data), generator)[0]:
@@ -117,51 +119,53 @@
         (b"what is this\r\n\r\n", 400),
         (b"GET /view HTTP/1.1\r\n\r\n", 400),
         (b"GET /health/ready HTTP/1.1\r\nHost: us\r\n" + b"X: " + b"y" * 70_000, 431),
-        (submit("/nowhere"), 404),
-        (post("/"), 404),
-        (submit().replace(b"POST", b"GET", 1), 405),
-        (submit("/health/ready"), 405),
-        (call(id="a").replace(b"POST", b"PUT", 1), 405),
-        (post("/view", Req_Deadline="480m"), 400),
-        (post("/view", Req_Id="a1"), 400),
-        (submit(Req_Deadline="soon"), 400),
-        (submit(Req_Deadline="480"), 400),
-        (submit(Req_Kind="record"), 400),
-        (submit("/record"), 400),
-        (submit(Req_Extra="slots=none"), 400),
-        (submit(Req_Extra="slots=0"), 400),
-        (submit(Req_Extra="slots=99999"), 400),
-        (submit(Req_Extra="slots=1,slots=2"), 400),
-        (submit(Req_Deadline="0m"), 400),
-        (submit(Req_Deadline="-5m"), 400),
-        (submit(Req_Deadline="999999999999m"), 400),
-        (submit(Req_Id="a b"), 400),
-        (submit().replace(b"\r\n\r\n", b"\r\nReq-Id: a2\r\n\r\n"), 400),
-        (submit().replace(b"Req-Kind: view\r\n", b""), 400),
-        (submit() + submit(Req_Id="hidden"), 400),
-        (submit("/vie%77", Req_Kind="view"), 404),
-        (submit(body=b"x" * 65_537), 413),
+        (submit_bytes("/nowhere"), 404),
+        (post_bytes("/"), 404),
+        (submit_bytes().replace(b"POST", b"GET", 1), 405),
+        (submit_bytes("/health/ready"), 405),
+        (callback_bytes(id="a").replace(b"POST", b"PUT", 1), 405),
+        (post_bytes("/view", Req_Deadline="480m"), 400),
+        (post_bytes("/view", Req_Id="a1"), 400),
+        (submit_bytes(Req_Deadline="soon"), 400),
+        (submit_bytes(Req_Deadline="480"), 400),
+        (submit_bytes(Req_Kind="record"), 400),
+        (submit_bytes("/record"), 400),
+        (submit_bytes(Req_Extra="slots=none"), 400),
+        (submit_bytes(Req_Extra="slots=0"), 400),
+        (submit_bytes(Req_Extra="slots=99999"), 400),
+        (submit_bytes(Req_Extra="slots=1,slots=2"), 400),
+        (submit_bytes(Req_Deadline="0m"), 400),
+        (submit_bytes(Req_Deadline="-5m"), 400),
+        (submit_bytes(Req_Deadline="999999999999m"), 400),
+        (submit_bytes(Req_Id="a b"), 400),
+        (submit_bytes().replace(b"\r\n\r\n", b"\r\nReq-Id: a2\r\n\r\n"), 400),
+        (submit_bytes().replace(b"Req-Kind: view\r\n", b""), 400),
+        (submit_bytes() + submit_bytes(Req_Id="hidden"), 400),
+        (submit_bytes("/vie%77", Req_Kind="view"), 404),
+        (submit_bytes(body=b"x" * 65_537), 413),
         (
-            submit().replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
+            submit_bytes().replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
             + b"10000\r\n"
             + b"x" * 65_536
             + b"\r\n1\r\nx\r\n0\r\n\r\n",
             413,
         ),
-        (submit().replace(b"Content-Length: 0", b"Transfer-Encoding: gzip"), 400),
-        (submit(Transfer_Encoding="chunked") + b"0\r\n\r\n" + submit(Req_Id="hidden"), 400),
-        (submit(Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
+        (submit_bytes().replace(b"Content-Length: 0", b"Transfer-Encoding: gzip"), 400),
+        (submit_bytes(Transfer_Encoding="chunked") + b"0\r\n\r\n" + submit_bytes(Req_Id="hidden"), 400),
+        (submit_bytes(Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
         (
-            submit().replace(b"Content-Length: 0", b"Transfer-Encoding: chunked").replace(b"/1.1", b"/1.0", 1)
+            submit_bytes()
+            .replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
+            .replace(b"/1.1", b"/1.0", 1)
             + b"0\r\n\r\n",
             400,
         ),
-        (post("/callback", b"{"), 400),
-        (post("/callback", b"[1]"), 400),
-        (call(id="a", **{"from": "w"}, state="asleep"), 400),
-        (call(id="a", **{"from": "w"}, state="running", share=None), 400),
-        (call(id="a", **{"from": "w"}, state="done"), 400),
-        (call(id=7, **{"from": "w"}, state="lost"), 400),
+        (post_bytes("/callback", b"{"), 400),
+        (post_bytes("/callback", b"[1]"), 400),
+        (callback_bytes(id="a", **{"from": "w"}, state="asleep"), 400),
+        (callback_bytes(id="a", **{"from": "w"}, state="running", share=None), 400),
+        (callback_bytes(id="a", **{"from": "w"}, state="done"), 400),
+        (callback_bytes(id=7, **{"from": "w"}, state="lost"), 400),
     ],
 )
 def test_bad_request_is_rejected_with_its_4xx(data: bytes, status: int) -> None:
@@ -195,7 +199,7 @@
     nothing may follow on the connection.
     """
     http = ServerHttpConnection(TIMEOUTS, KEYED_CLASSES)
-    http.feed(submit(body=b"x" * 100)[:-50])
+    http.feed(submit_bytes(body=b"x" * 100)[:-50])
     assert http.next_message() is None
     assert b"408" in b"".join(http.encode_response(408, b"half a message\n", [], True))
     assert http.encode_response(200, b"", [], False) == [] and http.is_final
@@ -208,7 +212,7 @@
     clients for lack of memory that nothing uses.
     """
     http = ServerHttpConnection(TIMEOUTS, KEYED_CLASSES)
-    data = submit(body=b"x" * 1000)
+    data = submit_bytes(body=b"x" * 1000)
     http.feed(data[:-1])
     assert http.next_message() is None and http.buffered_bytes == 999
     http.feed(data[-1:])
@@ -216,7 +220,7 @@
 
 
 def test_body_of_64_kib_is_accepted() -> None:
-    messages, _ = exchange_messages(submit(body=b"x" * 65_536))
+    messages, _ = exchange_messages(submit_bytes(body=b"x" * 65_536))
     assert isinstance(messages[0], SubmitRequest) and len(messages[0].body) == 65_536
 
 
@@ -228,7 +232,9 @@
         ("lost", AttemptOutcome.RESET),
     ]
     for state, outcome in ends:
-        messages, _ = exchange_messages(call(id="a", **{"from": "w"}, state=state, result="r\u00e9\n"))
+        messages, _ = exchange_messages(
+            callback_bytes(id="a", **{"from": "w"}, state=state, result="r\u00e9\n")
+        )
         result = "r\u00e9\n".encode() if state == "done" else b""
         assert messages == [Callback("a", "w", state, 0.0, outcome, result)]
 
@@ -242,7 +248,7 @@
     """
     http = ServerHttpConnection({"view": 3_000_000}, [])
     callback = f'{{"id": "a", "from": "w0", "state": "running", "share": {share}}}'
-    http.feed(post("/callback", callback.encode()))
+    http.feed(post_bytes("/callback", callback.encode()))
     message = http.next_message()
     if isinstance(message, Callback):
         assert 0.0 <= message.fraction_done <= 1.0
--- a/tests/scheduler/test_affinity.py
+++ b/tests/scheduler/test_affinity.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import GRADES, listed, terms
+from helpers import SERVICE_CLASSES, endpoint_entry, scheduler_config
 
 from locktide.scheduler.estimators.key_frequencies import KeyFrequencies
 from locktide.scheduler.events import RequestArrived
@@ -21,9 +21,9 @@
     def __init__(self) -> None:
         self.clock = Clock()
         self.endpoints = EndpointTable()
-        self.endpoints.by_id = {f"w{n}": Endpoint(listed(f"w{n}"), 1.0) for n in range(20)}
-        self.endpoints.rebuild_candidates(GRADES)
-        self.estimates = FleetEstimates(self.clock, ActiveConfig(terms(3, 3, False, 0.4)))
+        self.endpoints.by_id = {f"w{n}": Endpoint(endpoint_entry(f"w{n}"), 1.0) for n in range(20)}
+        self.endpoints.rebuild_candidates(SERVICE_CLASSES)
+        self.estimates = FleetEstimates(self.clock, ActiveConfig(scheduler_config(3, 3, False, 0.4)))
         self.estimates.configure()
         self.frequencies = KeyFrequencies()
         self.router = AffinityRouter(
@@ -32,7 +32,7 @@
             estimates=self.estimates,
             key_frequencies=self.frequencies,
         )
-        self.request = Request(RequestArrived(1, "view", 3_000_000), GRADES[0], 0, 1)
+        self.request = Request(RequestArrived(1, "view", 3_000_000), SERVICE_CLASSES[0], 0, 1)
 
     def select_endpoints(self, now: int = 0) -> list[Endpoint]:
         """Return the endpoints among which the request is drawn at this time."""
--- a/tests/scheduler/test_config.py
+++ b/tests/scheduler/test_config.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from helpers import GRADES, terms
+from helpers import SERVICE_CLASSES, scheduler_config
 
 from locktide.scheduler.config import SchedulerConfig
 
@@ -28,7 +28,7 @@
 
 
 def test_neither_the_configuration_nor_a_section_can_be_modified() -> None:
-    config = terms(3, 1, False, 0.4)
+    config = scheduler_config(3, 1, False, 0.4)
     sections = [getattr(config, field.name) for field in fields(config)]
     for frozen in [config, *config.service_classes, *sections[3:]]:
         with pytest.raises(FrozenInstanceError):
@@ -53,4 +53,4 @@
     ],
 )
 def test_a_service_class_states_the_types_and_zones_it_is_confined_to(confined: Any, placement: Any) -> None:
-    assert replace(GRADES[0], **confined).placement == placement
+    assert replace(SERVICE_CLASSES[0], **confined).placement == placement
--- a/tests/scheduler/test_load_ratings.py
+++ b/tests/scheduler/test_load_ratings.py
@@ -6,7 +6,14 @@
 from dataclasses import replace
 
 import pytest
-from helpers import COLD, GRADES, STEP, Checked, listed, terms
+from helpers import (
+    ROUND_INTERVAL,
+    SERVICE_CLASSES,
+    SLOW_START,
+    CheckedScheduler,
+    endpoint_entry,
+    scheduler_config,
+)
 
 from locktide.scheduler.commands import CancelAttempt, Command, RejectRequest, WriteLog
 from locktide.scheduler.config import CostConfig, ServiceClass
@@ -28,7 +35,8 @@
 def rated(ratings: dict[str, float], **started_at: int) -> list[EndpointEntry]:
     """Return list entries with these ratings; `started_at` gives the start times of some workers."""
     return [
-        listed(name, rating=rating, started_at=started_at.get(name, 0)) for name, rating in ratings.items()
+        endpoint_entry(name, rating=rating, started_at=started_at.get(name, 0))
+        for name, rating in ratings.items()
     ]
 
 
@@ -36,12 +44,12 @@
     """Return how many dispatchers, all with the same ratings, send their first request to each worker."""
     drawn: Counter[str] = Counter()
     for seed in range(dispatchers):
-        checked = Checked(seed, fleet=dispatchers, live=True)
-        checked.list(*rated(dict.fromkeys(ratings, IDLE)))
-        checked.list(*rated(ratings, **started_at), kind=ListUpdateKind.DELTA)
+        checked = CheckedScheduler(seed, dispatcher_count=dispatchers, has_live_ratings=True)
+        checked.update_endpoints(*rated(dict.fromkeys(ratings, IDLE)))
+        checked.update_endpoints(*rated(ratings, **started_at), kind=ListUpdateKind.DELTA)
         checked.arrive(1, "view")
-        checked.pass_time(10 * STEP)
-        drawn[checked.dispatches[1][0]["worker"]] += 1
+        checked.pass_time(10 * ROUND_INTERVAL)
+        drawn[checked.attempts[1][0]["worker"]] += 1
     return drawn
 
 
@@ -58,25 +66,25 @@
 
 @pytest.mark.parametrize("rating", [0.0, 1e-9, 1e15])
 def test_a_faulty_rating_of_one_worker_costs_few_requests(rating: float) -> None:
-    checked = Checked(fleet=5, live=True)
-    checked.list(*rated({"w0": IDLE, "w1": IDLE, "w2": IDLE}))
-    checked.list(*rated({"w0": rating, "w1": 6.0, "w2": 5.0}), kind=ListUpdateKind.DELTA)
+    checked = CheckedScheduler(dispatcher_count=5, has_live_ratings=True)
+    checked.update_endpoints(*rated({"w0": IDLE, "w1": IDLE, "w2": IDLE}))
+    checked.update_endpoints(*rated({"w0": rating, "w1": 6.0, "w2": 5.0}), kind=ListUpdateKind.DELTA)
     for request in range(60):
         checked.arrive(request, "view")
-        checked.pass_time(20 * STEP)
-        for open_request, attempt in checked.out():
-            checked.end(open_request, attempt, AttemptOutcome.DONE)
-    assert sum(response == "done" for response in checked.answered.values()) > 55
+        checked.pass_time(20 * ROUND_INTERVAL)
+        for open_request, attempt in checked.running_attempts():
+            checked.end_attempt(open_request, attempt, AttemptOutcome.DONE)
+    assert sum(response == "done" for response in checked.finished.values()) > 55
 
 
 class RenewedRatings:
     """Four workers with some load, whose ratings are renewed by updates of the endpoint list."""
 
     def __init__(self) -> None:
-        self.checked = Checked(live=True)
+        self.checked = CheckedScheduler(has_live_ratings=True)
         self.ratings = {f"w{number}": 6.0 for number in range(4)}
-        self.checked.list(*rated(dict.fromkeys(self.ratings, IDLE)))
-        self.checked.list(*rated(self.ratings), kind=ListUpdateKind.DELTA)
+        self.checked.update_endpoints(*rated(dict.fromkeys(self.ratings, IDLE)))
+        self.checked.update_endpoints(*rated(self.ratings), kind=ListUpdateKind.DELTA)
 
     def renew(self, *left_out: str) -> list[Command]:
         """Renew all ratings except those left out; return the resulting commands."""
@@ -84,16 +92,16 @@
             self.ratings[name] += 0.01
         self.checked.pass_time(700_000)
         renewed = {name: rating for name, rating in self.ratings.items() if name not in left_out}
-        return self.checked.list(*rated(renewed), kind=ListUpdateKind.DELTA)
+        return self.checked.update_endpoints(*rated(renewed), kind=ListUpdateKind.DELTA)
 
     def first_workers(self, first: int, count: int = 40) -> set[str]:
         """Send `count` at-most-once requests with ids from `first` on; return the workers that got them."""
         for request in range(first, first + count):
             self.checked.arrive(request, "cash")
-            self.checked.pass_time(2 * STEP)
-            for open_request, attempt in self.checked.out():
-                self.checked.end(open_request, attempt, AttemptOutcome.DONE)
-        attempts = [self.checked.dispatches[request] for request in range(first, first + count)]
+            self.checked.pass_time(2 * ROUND_INTERVAL)
+            for open_request, attempt in self.checked.running_attempts():
+                self.checked.end_attempt(open_request, attempt, AttemptOutcome.DONE)
+        attempts = [self.checked.attempts[request] for request in range(first, first + count)]
         return {each[0]["worker"] for each in attempts if each}
 
 
@@ -118,14 +126,16 @@
     Two such lists would have made each busy worker suspected. Only an update that changes most ratings may
     count against a worker whose rating it does not change.
     """
-    checked = Checked(live=True)
-    checked.list(*rated({"w0": IDLE, "w1": IDLE, "w2": IDLE}))
-    checked.list(*rated({"w0": 4.0, "w1": 5.0, "w2": 6.0}), kind=ListUpdateKind.DELTA)
+    checked = CheckedScheduler(has_live_ratings=True)
+    checked.update_endpoints(*rated({"w0": IDLE, "w1": IDLE, "w2": IDLE}))
+    checked.update_endpoints(*rated({"w0": 4.0, "w1": 5.0, "w2": 6.0}), kind=ListUpdateKind.DELTA)
     for _ in range(5):
-        checked.list(kind=ListUpdateKind.DELTA)
-        checked.list(listed("w0", rating=4.5), kind=ListUpdateKind.DELTA)
-        checked.list(*rated({"w0": 4.5, "w1": 5.0, "w2": 6.0}))  # a complete list, as after a reload
-    endpoints = checked.dispatcher.endpoints.by_id.values()
+        checked.update_endpoints(kind=ListUpdateKind.DELTA)
+        checked.update_endpoints(endpoint_entry("w0", rating=4.5), kind=ListUpdateKind.DELTA)
+        checked.update_endpoints(
+            *rated({"w0": 4.5, "w1": 5.0, "w2": 6.0})
+        )  # a complete list, as after a reload
+    endpoints = checked.scheduler.endpoints.by_id.values()
     assert not any(is_suspected(endpoint, checked.now) for endpoint in endpoints)
 
 
@@ -138,7 +148,7 @@
     started_at = 10_000_000 - 1_000_000  # a second ago
     ratings = {f"w{number}": 3.5 for number in range(9)} | {"w9": IDLE}
     drawn = first_draws(ratings, w9=started_at)
-    factor = COLD.initial_capacity + (1 - COLD.initial_capacity) / 8
+    factor = SLOW_START.initial_capacity + (1 - SLOW_START.initial_capacity) / 8
     assert drawn["w9"] / 400 < 1.6 * factor / 10
 
 
@@ -148,14 +158,14 @@
     The slow-start budget would not allow these requests, and they would wait although other workers were
     free. Whatever its rating, the worker must have the mean weight of the others times its slow-start factor.
     """
-    checked = Checked(live=True)
+    checked = CheckedScheduler(has_live_ratings=True)
     ratings = {f"w{number}": 3.5 for number in range(9)} | {"w9": IDLE}
-    checked.list(*rated(dict.fromkeys(ratings, IDLE)))
-    checked.list(*rated(ratings, w9=checked.now - 1_000_000), kind=ListUpdateKind.DELTA)
-    endpoints = checked.dispatcher.endpoints.candidates[None]
-    strategy = checked.dispatcher.strategies.current
+    checked.update_endpoints(*rated(dict.fromkeys(ratings, IDLE)))
+    checked.update_endpoints(*rated(ratings, w9=checked.now - 1_000_000), kind=ListUpdateKind.DELTA)
+    endpoints = checked.scheduler.endpoints.candidates[None]
+    strategy = checked.scheduler.strategies.current
     drawn = Counter(strategy.draw(endpoints, has_key=False).id for _ in range(4000))
-    factor = COLD.initial_capacity + (1 - COLD.initial_capacity) / 8
+    factor = SLOW_START.initial_capacity + (1 - SLOW_START.initial_capacity) / 8
     expected = factor / (9 + factor)
     assert 0.7 * expected < drawn["w9"] / 4000 < 1.4 * expected
 
@@ -169,32 +179,34 @@
     names = [f"w{number}" for number in range(10)]
     first_attempts: Counter[str] = Counter()
     for seed in range(200):
-        checked = Checked(seed, fleet=200, live=True)
-        checked.list(*[listed(name, rating=IDLE) for name in names])
+        checked = CheckedScheduler(seed, dispatcher_count=200, has_live_ratings=True)
+        checked.update_endpoints(*[endpoint_entry(name, rating=IDLE) for name in names])
         started_at = checked.now - 3_000_000
-        checked.list(*[listed(name, started_at=started_at, rating=IDLE) for name in names])
+        checked.update_endpoints(
+            *[endpoint_entry(name, started_at=started_at, rating=IDLE) for name in names]
+        )
         for name in names[1:]:
-            endpoint = checked.dispatcher.endpoints.by_id[name]
+            endpoint = checked.scheduler.endpoints.by_id[name]
             endpoint.unavailable_until = checked.now + 5_000_000
         for request in range(8):
-            checked.arrive(request, "view", hint=300_000)
+            checked.arrive(request, "view", work_hint=300_000)
         checked.pass_time(500_000)
-        first_attempts.update(each[0]["worker"] for each in checked.dispatches.values() if each)
-    factor = COLD.initial_capacity + (1 - COLD.initial_capacity) * 3 / 8
+        first_attempts.update(each[0]["worker"] for each in checked.attempts.values() if each)
+    factor = SLOW_START.initial_capacity + (1 - SLOW_START.initial_capacity) * 3 / 8
     # Left: the need of attempts of 0.3 s on eight cores. Right: the budget of the worker for one second.
-    assert 0 < first_attempts["w0"] * 0.3 / 8 < 0.75 * COLD.overload_factor * factor
+    assert 0 < first_attempts["w0"] * 0.3 / 8 < 0.75 * SLOW_START.overload_factor * factor
 
 
 def workers_of_sixty_requests(connection_cost: float) -> int:
     """Send sixty requests one after the other; return to how many of ten workers they are sent."""
     costs = CostConfig(connection=connection_cost, idle_timeout=5_000_000)
-    checked = Checked(live=True, prices=costs)
-    checked.list(*rated({f"w{number}": IDLE for number in range(10)}))
+    checked = CheckedScheduler(has_live_ratings=True, costs=costs)
+    checked.update_endpoints(*rated({f"w{number}": IDLE for number in range(10)}))
     for request in range(60):
         checked.arrive(request, "view")
-        checked.pass_time(5 * STEP)
-        checked.end(request, 0, AttemptOutcome.DONE)
-    return len({checked.dispatches[request][0]["worker"] for request in range(60)})
+        checked.pass_time(5 * ROUND_INTERVAL)
+        checked.end_attempt(request, 0, AttemptOutcome.DONE)
+    return len({checked.attempts[request][0]["worker"] for request in range(60)})
 
 
 def test_workers_with_an_idle_connection_are_preferred_where_a_new_one_has_a_cost() -> None:
@@ -204,13 +216,15 @@
 
 def test_workers_of_another_zone_are_drawn_less_often_where_crossing_has_a_cost() -> None:
     costs = CostConfig(cross_zone=0.02, zone="zone-0")
-    checked = Checked(live=True, prices=costs)
-    checked.list(*[listed(f"w{number}", cell=number % 2, rating=IDLE) for number in range(10)])
+    checked = CheckedScheduler(has_live_ratings=True, costs=costs)
+    checked.update_endpoints(
+        *[endpoint_entry(f"w{number}", cell=number % 2, rating=IDLE) for number in range(10)]
+    )
     for request in range(200):
         checked.arrive(request, "view")
-        checked.pass_time(STEP)
-        checked.end(request, 0, AttemptOutcome.DONE)
-    zones = Counter(checked.dispatches[request][0]["zone"] for request in range(200))
+        checked.pass_time(ROUND_INTERVAL)
+        checked.end_attempt(request, 0, AttemptOutcome.DONE)
+    zones = Counter(checked.attempts[request][0]["zone"] for request in range(200))
     # Twice the cost that divides a weight by e: 0.135 times as many draws as in the own zone.
     assert 10 < zones["zone-1"] < 40
 
@@ -221,7 +235,7 @@
     They queued behind requests that could have run elsewhere. Other requests must be sent to this worker type
     less often, but not never.
     """
-    checked = Checked(live=True)
+    checked = CheckedScheduler(has_live_ratings=True)
     exclusive = ServiceClass(
         name="bound",
         effect=Effect.IDEMPOTENT,
@@ -234,18 +248,24 @@
         overdue_weight=0.5,
         worker_type="slow",
     )
-    config = replace(terms(3, 3, False, 0.4, live=True), service_classes=[*GRADES, exclusive])
-    checked.turn(ConfigReloaded(config))
+    config = replace(
+        scheduler_config(3, 3, False, 0.4, has_live_ratings=True),
+        service_classes=[*SERVICE_CLASSES, exclusive],
+    )
+    checked.step(ConfigReloaded(config))
     slow = [f"w{number}" for number in range(5)]
     fast = [f"w{number}" for number in range(5, 10)]
-    checked.list(
-        *[listed(name, rating=IDLE, kind="slow" if name in slow else "fast") for name in slow + fast]
+    checked.update_endpoints(
+        *[
+            endpoint_entry(name, rating=IDLE, worker_type="slow" if name in slow else "fast")
+            for name in slow + fast
+        ]
     )
     for request in range(200):
         checked.arrive(request, "view")
-        checked.pass_time(STEP)
-        checked.end(request, 0, AttemptOutcome.DONE)
-    assert 20 < sum(checked.dispatches[request][0]["worker"] in slow for request in range(200)) < 65
+        checked.pass_time(ROUND_INTERVAL)
+        checked.end_attempt(request, 0, AttemptOutcome.DONE)
+    assert 20 < sum(checked.attempts[request][0]["worker"] in slow for request in range(200)) < 65
 
 
 @pytest.mark.parametrize(("rating", "is_cancelled"), [(IDLE, True), (IDLE / 2, False)])
@@ -256,12 +276,12 @@
     If no worker has free cores, an attempt must keep its place for the whole slack; if some have, it may be
     cancelled earlier.
     """
-    checked = Checked(live=True)
-    checked.list(*rated({f"w{number}": IDLE for number in range(6)}))
-    checked.list(*rated({f"w{number}": rating for number in range(6)}), kind=ListUpdateKind.DELTA)
+    checked = CheckedScheduler(has_live_ratings=True)
+    checked.update_endpoints(*rated({f"w{number}": IDLE for number in range(6)}))
+    checked.update_endpoints(*rated({f"w{number}": rating for number in range(6)}), kind=ListUpdateKind.DELTA)
     checked.arrive(1, "view")
     checked.pass_time(300_000)  # of a slack of 500 ms
-    assert any(isinstance(command, CancelAttempt) for command in checked.orders) == is_cancelled
+    assert any(isinstance(command, CancelAttempt) for command in checked.commands) == is_cancelled
 
 
 def test_a_request_that_was_refused_as_full_pauses_before_its_next_attempt() -> None:
@@ -270,14 +290,14 @@
     Every worker was full, and after each "full" the next attempt followed at once. The attempts of a request
     must be spread over its queue timeout.
     """
-    checked = Checked(live=True)
-    checked.list(*rated({f"w{number}": IDLE for number in range(6)}))
+    checked = CheckedScheduler(has_live_ratings=True)
+    checked.update_endpoints(*rated({f"w{number}": IDLE for number in range(6)}))
     checked.arrive(1, "record")
-    checked.end(1, 0, AttemptOutcome.FULL)
-    checked.pass_time(2 * STEP)
-    assert len(checked.dispatches[1]) == 1 and 1 not in checked.answered
+    checked.end_attempt(1, 0, AttemptOutcome.FULL)
+    checked.pass_time(2 * ROUND_INTERVAL)
+    assert len(checked.attempts[1]) == 1 and 1 not in checked.finished
     checked.pass_time(200_000)
-    assert len(checked.dispatches[1]) == 2
+    assert len(checked.attempts[1]) == 2
 
 
 def test_a_request_without_attempts_left_is_rejected_at_once() -> None:
@@ -286,12 +306,12 @@
     The request cannot succeed any more. It must be rejected right after its last attempt, while its client
     still has time for a retry.
     """
-    checked = Checked(live=True)
-    checked.list(*rated({f"w{number}": IDLE for number in range(6)}))
+    checked = CheckedScheduler(has_live_ratings=True)
+    checked.update_endpoints(*rated({f"w{number}": IDLE for number in range(6)}))
     checked.arrive(1, "record")
-    for attempt in range(checked.most):
-        commands = checked.end(1, attempt, AttemptOutcome.FULL)
-        if attempt < checked.most - 1:
+    for attempt in range(checked.max_attempts):
+        commands = checked.end_attempt(1, attempt, AttemptOutcome.FULL)
+        if attempt < checked.max_attempts - 1:
             checked.pass_time(300_000)
     assert [each.request_id for each in commands if isinstance(each, RejectRequest)] == [1]
     assert checked.arrivals[1].deadline - checked.now > 4_000_000, "the client still has time for a retry"
--- a/tests/scheduler/test_outlier_detection.py
+++ b/tests/scheduler/test_outlier_detection.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 
 import pytest
-from helpers import STEP, Checked, listed
+from helpers import ROUND_INTERVAL, CheckedScheduler, endpoint_entry
 
 from locktide.scheduler.commands import WriteLog
 from locktide.scheduler.events import AttemptProgressed, AttemptStarted
@@ -19,22 +19,22 @@
 SECOND = 1_000_000  # microseconds
 
 
-def after_some_runs() -> Checked:
+def after_some_runs() -> CheckedScheduler:
     """Return a dispatcher with one worker that has completed requests of class `record` in the usual time."""
-    service = Checked(fleet=1)
-    service.list(listed("w"))
+    service = CheckedScheduler(dispatcher_count=1)
+    service.update_endpoints(endpoint_entry("w"))
     for number in range(RUN_COUNT):
         service.arrive(number, "record")
-        service.turn(AttemptStarted(number, 0))
+        service.step(AttemptStarted(number, 0))
         service.pass_time(USUAL_RUN + (number - RUN_COUNT // 2) * RUN_SPREAD)
-        service.end(number, 0, AttemptOutcome.DONE)
-    service.pass_time(STEP)
+        service.end_attempt(number, 0, AttemptOutcome.DONE)
+    service.pass_time(ROUND_INTERVAL)
     return service
 
 
-def suspicions(service: Checked) -> list[SuspicionReason]:
+def suspicions(service: CheckedScheduler) -> list[SuspicionReason]:
     """Return the reasons of all suspicions logged so far."""
-    logged = [command.event for command in service.orders if type(command) is WriteLog]
+    logged = [command.event for command in service.commands if type(command) is WriteLog]
     return [event.reason for event in logged if type(event) is WorkerSuspected]
 
 
@@ -50,9 +50,9 @@
     """
     service = after_some_runs()
     service.arrive(RUN_COUNT, "record")
-    service.turn(AttemptStarted(RUN_COUNT, 0))
+    service.step(AttemptStarted(RUN_COUNT, 0))
     service.pass_time(USUAL_RUN)
-    service.turn(AttemptProgressed(RUN_COUNT, 0, fraction_done))
+    service.step(AttemptProgressed(RUN_COUNT, 0, fraction_done))
     assert suspicions(service) == reasons
 
 
@@ -62,10 +62,10 @@
     No attempt failed, so it was sent more requests until their clients gave up. A worker must be suspected
     one and a half report intervals after its last report, and not before.
     """
-    service = Checked(fleet=1)
-    service.list(listed("w"))
+    service = CheckedScheduler(dispatcher_count=1)
+    service.update_endpoints(endpoint_entry("w"))
     service.arrive(1, "record")
-    service.turn(AttemptStarted(1, 0))
+    service.step(AttemptStarted(1, 0))
     service.pass_time(1_500_000)
     assert suspicions(service) == []
     service.pass_time(1_500_000)  # the first check found the report just in time; this is the second
@@ -81,9 +81,9 @@
     service = after_some_runs()
     service.arrive(RUN_COUNT, "record")
     service.pass_time(1_000_000)
-    worker = service.dispatcher.endpoints.by_id["w"]
+    worker = service.scheduler.endpoints.by_id["w"]
     assert suspicions(service) == [SuspicionReason.NO_START] and is_suspected(worker, service.now)
-    service.turn(AttemptStarted(RUN_COUNT, 0))
+    service.step(AttemptStarted(RUN_COUNT, 0))
     assert not is_suspected(worker, service.now)
 
 
@@ -94,14 +94,14 @@
     since the request was sent, a late start must not be recorded as a failure.
     """
     service = after_some_runs()
-    service.arrive(RUN_COUNT, "record", hint=10 * USUAL_RUN)
-    service.turn(AttemptStarted(RUN_COUNT, 0))
-    service.dispatcher.endpoints.by_id["w"].concurrency_limit = 2.0
+    service.arrive(RUN_COUNT, "record", work_hint=10 * USUAL_RUN)
+    service.step(AttemptStarted(RUN_COUNT, 0))
+    service.scheduler.endpoints.by_id["w"].concurrency_limit = 2.0
     service.arrive(RUN_COUNT + 1, "record")
-    assert len(service.out()) == 2
+    assert len(service.running_attempts()) == 2
     for step in range(1, 6):
         service.pass_time(200_000)
-        service.turn(AttemptProgressed(RUN_COUNT, 0, 0.2 * step))
+        service.step(AttemptProgressed(RUN_COUNT, 0, 0.2 * step))
     assert suspicions(service) == []
 
 
@@ -112,12 +112,12 @@
     it. There must be at most one draw for a probe in each interval, however many requests arrive.
     """
     service = after_some_runs()
-    detector = service.dispatcher.outliers
-    worker = service.dispatcher.endpoints.by_id["w"]
+    detector = service.scheduler.outliers
+    worker = service.scheduler.endpoints.by_id["w"]
     admitted = []
-    for _ in range(3 * PROBE_INTERVAL // STEP):
-        service.now += STEP
-        service.dispatcher.clock.now = service.now
+    for _ in range(3 * PROBE_INTERVAL // ROUND_INTERVAL):
+        service.now += ROUND_INTERVAL
+        service.scheduler.clock.now = service.now
         if detector.admits_probe(worker):
             admitted.append(service.now)
     gaps = [later - earlier for earlier, later in pairwise(admitted)]
@@ -132,17 +132,17 @@
     was reported twice. The count became negative, so the worker's next real failure did not make it
     suspected.
     """
-    service = Checked(fleet=1)
-    service.list(listed("w"))
+    service = CheckedScheduler(dispatcher_count=1)
+    service.update_endpoints(endpoint_entry("w"))
     service.arrive(1, "cash")  # at most once: it is not cancelled for a retry
     service.pass_time(4 * USUAL_RUN)
     while not suspicions(service):
         service.pass_time(USUAL_RUN)
     service.pass_time(SECOND)
-    service.turn(*[AttemptStarted(1, 0)] * start_reports)
-    worker = service.dispatcher.endpoints.by_id["w"]
+    service.step(*[AttemptStarted(1, 0)] * start_reports)
+    worker = service.scheduler.endpoints.by_id["w"]
     assert worker.failures.read(service.now) == pytest.approx(0.0, abs=1e-9)
-    service.end(1, 0, AttemptOutcome.RESET)
+    service.end_attempt(1, 0, AttemptOutcome.RESET)
     assert is_suspected(worker, service.now)
     assert suspicions(service) == [SuspicionReason.NO_START, SuspicionReason.RESET]
 
@@ -154,11 +154,11 @@
     followed by exactly one log event once the worker may be sent requests again, whatever cleared it, even if
     nothing else happens.
     """
-    service = Checked(fleet=1)
-    service.list(listed("w"), listed("x"))
+    service = CheckedScheduler(dispatcher_count=1)
+    service.update_endpoints(endpoint_entry("w"), endpoint_entry("x"))
     service.arrive(1, "cash")
-    worker = service.dispatches[1][0]["worker"]
-    service.end(1, 0, AttemptOutcome.RESET)
+    worker = service.attempts[1][0]["worker"]
+    service.end_attempt(1, 0, AttemptOutcome.RESET)
     assert suspicions(service) == [SuspicionReason.RESET]
     service.pass_time(6 * SECOND)
     assert cleared(service) == [], "one failure suspects for seven seconds"
@@ -169,6 +169,6 @@
     assert 6_900 <= cleared(service)[0].suspected_ms <= 8_100
 
 
-def cleared(service: Checked) -> list[WorkerCleared]:
-    logged = [command.event for command in service.orders if type(command) is WriteLog]
+def cleared(service: CheckedScheduler) -> list[WorkerCleared]:
+    logged = [command.event for command in service.commands if type(command) is WriteLog]
     return [event for event in logged if type(event) is WorkerCleared]
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from helpers import GRADES, Checked, listed, submission, terms
+from helpers import SERVICE_CLASSES, CheckedScheduler, endpoint_entry, scheduler_config, submit_request
 
 from locktide.bench_adapter.encoding import encode_commands
 from locktide.config import settings, start
@@ -26,12 +26,12 @@
 from locktide.scheduler.types import AttemptOutcome, EndpointState, ListUpdateKind
 from locktide.transport.log import Log
 
-VIEW = GRADES[0]
+VIEW = SERVICE_CLASSES[0]
 
 
 def confined_config(view: ServiceClass = VIEW, close_idle_within: int = 0) -> SchedulerConfig:
     """Return a configuration with this service class in place of "view"."""
-    config = terms(3, 1, False, 0.4)
+    config = scheduler_config(3, 1, False, 0.4)
     return replace(
         config,
         service_classes=[view, *config.service_classes[1:]],
@@ -71,17 +71,17 @@
     worker that satisfies the constraint is ready, the request must wait, although other requests are sent.
     Once such a worker is ready, the request must be sent there.
     """
-    checked = Checked()
-    checked.turn(ConfigReloaded(confined_config(view)))
-    excluded = listed("w0", cell=0)
-    allowed = listed("w1", state=EndpointState.GONE, cell=1, kind="other")
-    checked.list(excluded, allowed)
+    checked = CheckedScheduler()
+    checked.step(ConfigReloaded(confined_config(view)))
+    excluded = endpoint_entry("w0", cell=0)
+    allowed = endpoint_entry("w1", state=EndpointState.GONE, cell=1, worker_type="other")
+    checked.update_endpoints(excluded, allowed)
     checked.arrive(1, "view")
     checked.arrive(2, "record")
-    assert [request for request, attempts in checked.dispatches.items() if attempts] == [2]
-    checked.list(excluded, replace(allowed, state=EndpointState.READY))
+    assert [request for request, attempts in checked.attempts.items() if attempts] == [2]
+    checked.update_endpoints(excluded, replace(allowed, state=EndpointState.READY))
     checked.pass_time(40_000)
-    attempts = checked.dispatcher.requests.open[1].attempts
+    attempts = checked.scheduler.requests.open[1].attempts
     assert attempts[0].endpoint.id == "w1" and len(attempts) == 1
 
 
@@ -91,23 +91,27 @@
     Connections that are idle when the drain is notified must be closed, and so must connections that become
     idle when an attempt there ends.
     """
-    checked = Checked()
-    checked.turn(ConfigReloaded(confined_config(close_idle_within=100_000)))
-    checked.list(listed("w0"))
+    checked = CheckedScheduler()
+    checked.step(ConfigReloaded(confined_config(close_idle_within=100_000)))
+    checked.update_endpoints(endpoint_entry("w0"))
     checked.arrive(1, "view")
-    commands = checked.list(listed("w0", state=EndpointState.DRAINING), kind=ListUpdateKind.DELTA)
+    commands = checked.update_endpoints(
+        endpoint_entry("w0", state=EndpointState.DRAINING), kind=ListUpdateKind.DELTA
+    )
     assert CloseIdleConnections("w0") in commands
-    assert CloseIdleConnections("w0") in checked.end(1, 0, AttemptOutcome.DONE)
+    assert CloseIdleConnections("w0") in checked.end_attempt(1, 0, AttemptOutcome.DONE)
     assert encode_commands([CloseIdleConnections("w0")]) == ["CLOSE Worker=w0"]
 
 
 def test_no_connection_is_closed_where_the_settings_state_no_time() -> None:
-    checked = Checked()
-    checked.list(listed("w0"))
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w0"))
     checked.arrive(1, "view")
-    commands = checked.list(listed("w0", state=EndpointState.DRAINING), kind=ListUpdateKind.DELTA)
+    commands = checked.update_endpoints(
+        endpoint_entry("w0", state=EndpointState.DRAINING), kind=ListUpdateKind.DELTA
+    )
     assert CloseIdleConnections("w0") not in commands
-    assert CloseIdleConnections("w0") not in checked.end(1, 0, AttemptOutcome.DONE)
+    assert CloseIdleConnections("w0") not in checked.end_attempt(1, 0, AttemptOutcome.DONE)
 
 
 @pytest.mark.parametrize("ends_late", [False, True])
@@ -134,16 +138,18 @@
 
         listening = await asyncio.start_server(worker, "127.0.0.1", 0)
         address = listening.sockets[0].getsockname()
-        known = discovery.DiscoveryUpdate(1, True, [listed("w0")], {"w0": address})
+        known = discovery.DiscoveryUpdate(1, True, [endpoint_entry("w0")], {"w0": address})
         started = start_with(confined_config(close_idle_within=100_000), address)
         dispatcher = Dispatcher(started, known, Log("n0"))
-        dispatcher.submit(submission("a"))
+        dispatcher.submit(submit_request("a"))
         await asyncio.wait_for(received.wait(), 2.0)
         if not ends_late:
             may_respond.set()
             await asyncio.sleep(0.05)
         dispatcher.endpoint_list.apply(
-            discovery.DiscoveryUpdate(2, False, [listed("w0", EndpointState.DRAINING)], {"w0": address})
+            discovery.DiscoveryUpdate(
+                2, False, [endpoint_entry("w0", EndpointState.DRAINING)], {"w0": address}
+            )
         )
         notified_at = loop.time()
         if ends_late:
--- a/tests/scheduler/test_ratings_and_reload.py
+++ b/tests/scheduler/test_ratings_and_reload.py
@@ -13,7 +13,16 @@
 from zlib import crc32
 
 import pytest
-from helpers import GRADES, STEP, Checked, begin, call, listed, submit, terms
+from helpers import (
+    ROUND_INTERVAL,
+    SERVICE_CLASSES,
+    CheckedScheduler,
+    callback_bytes,
+    endpoint_entry,
+    scheduler_config,
+    start_dispatcher_process,
+    submit_bytes,
+)
 
 from locktide.dispatcher.requests import arrival_event
 from locktide.protocol.messages import SubmitRequest
@@ -25,27 +34,32 @@
 
 
 def rated(ratings: dict[str, float], **started: int) -> list[EndpointEntry]:
-    return [listed(name, rating=rating, started_at=started.get(name, 0)) for name, rating in ratings.items()]
+    return [
+        endpoint_entry(name, rating=rating, started_at=started.get(name, 0))
+        for name, rating in ratings.items()
+    ]
 
 
 # --- reloads --------------------------------------------------------------------------------------------
 
-LIVE_CONFIG = terms(3, 7, True, 0.3, live=True, prices=CostConfig(0.05, 0.02, "zone-0", 5_000_000))
-INITIAL_CONFIG = terms(3, 3, False, 0.4)
+LIVE_CONFIG = scheduler_config(
+    3, 7, True, 0.3, has_live_ratings=True, costs=CostConfig(0.05, 0.02, "zone-0", 5_000_000)
+)
+INITIAL_CONFIG = scheduler_config(3, 3, False, 0.4)
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_random_events_with_reloads_keep_the_rules(seed: int) -> None:
     generator = random.Random(seed)
-    service = Checked(seed)
+    service = CheckedScheduler(seed)
     names = [f"w{n}" for n in range(6)]
-    service.list(*[listed(name, cell=n % 2) for n, name in enumerate(names)])
+    service.update_endpoints(*[endpoint_entry(name, cell=n % 2) for n, name in enumerate(names)])
     for request_id in range(200):
         if request_id % 25 == 24:
-            service.turn(ConfigReloaded(LIVE_CONFIG if request_id % 50 == 24 else INITIAL_CONFIG))
-        service.arrive(request_id, generator.choice(GRADES).name, generator.choice([1.0, 2.0, 4.0]))
-        service.pass_time(STEP * generator.randint(0, 10))
-        for open_request_id, attempt in service.out():
+            service.step(ConfigReloaded(LIVE_CONFIG if request_id % 50 == 24 else INITIAL_CONFIG))
+        service.arrive(request_id, generator.choice(SERVICE_CLASSES).name, generator.choice([1.0, 2.0, 4.0]))
+        service.pass_time(ROUND_INTERVAL * generator.randint(0, 10))
+        for open_request_id, attempt in service.running_attempts():
             if generator.random() < 0.2:
                 outcomes = [
                     AttemptOutcome.DONE,
@@ -54,16 +68,21 @@
                     AttemptOutcome.ERROR,
                     AttemptOutcome.RESET,
                 ]
-                service.end(open_request_id, attempt, generator.choice(outcomes))
-        for command in [command for command in service.orders if type(command) is CancelAttempt]:
-            if (command.request_id, command.attempt) in service.out() and generator.random() < 0.7:
-                service.end(command.request_id, command.attempt, AttemptOutcome.CANCELLED)
+                service.end_attempt(open_request_id, attempt, generator.choice(outcomes))
+        for command in [command for command in service.commands if type(command) is CancelAttempt]:
+            if (
+                command.request_id,
+                command.attempt,
+            ) in service.running_attempts() and generator.random() < 0.7:
+                service.end_attempt(command.request_id, command.attempt, AttemptOutcome.CANCELLED)
         if generator.random() < 0.2:
             index = generator.randrange(6)
             rating = generator.random() * 9
-            service.list(listed(names[index], cell=index % 2, rating=rating), kind=ListUpdateKind.DELTA)
+            service.update_endpoints(
+                endpoint_entry(names[index], cell=index % 2, rating=rating), kind=ListUpdateKind.DELTA
+            )
     service.pass_time(7_000_000)
-    assert set(service.answered) == set(service.arrivals)
+    assert set(service.finished) == set(service.arrivals)
 
 
 def test_a_reload_back_leaves_no_state_of_the_other_configuration() -> None:
@@ -73,15 +92,15 @@
     and the list was polled although updates are pushed. After the switch back no load may remain, and the
     list must not be polled.
     """
-    service = Checked()
-    service.list(*rated({"w0": 8.0, "w1": 8.0}))
-    service.turn(ConfigReloaded(LIVE_CONFIG))
-    service.list(*rated({"w0": 2.0, "w1": 8.0}), kind=ListUpdateKind.DELTA)
+    service = CheckedScheduler()
+    service.update_endpoints(*rated({"w0": 8.0, "w1": 8.0}))
+    service.step(ConfigReloaded(LIVE_CONFIG))
+    service.update_endpoints(*rated({"w0": 2.0, "w1": 8.0}), kind=ListUpdateKind.DELTA)
     assert (
-        service.dispatcher.endpoints.by_id["w0"].load == 3.0 and service.dispatcher.estimates.mean_load == 1.5
+        service.scheduler.endpoints.by_id["w0"].load == 3.0 and service.scheduler.estimates.mean_load == 1.5
     )
-    commands = service.turn(ConfigReloaded(INITIAL_CONFIG))
-    assert service.dispatcher.endpoints.by_id["w0"].load == service.dispatcher.estimates.mean_load == 0.0
+    commands = service.step(ConfigReloaded(INITIAL_CONFIG))
+    assert service.scheduler.endpoints.by_id["w0"].load == service.scheduler.estimates.mean_load == 0.0
     assert not [command for command in commands if type(command) is WatchEndpoints]
 
 
@@ -91,14 +110,16 @@
     Without their class these requests could neither be placed nor answered. They must be processed with the
     class with which they arrived.
     """
-    service = Checked()
+    service = CheckedScheduler()
     service.arrive(1, "cash")
-    classes = [service_class for service_class in GRADES if service_class.name != "cash"]
-    service.turn(ConfigReloaded(replace(INITIAL_CONFIG, service_classes=classes)))
-    service.list(listed("w0"))
-    assert service.dispatches[1]
+    classes = [service_class for service_class in SERVICE_CLASSES if service_class.name != "cash"]
+    service.step(ConfigReloaded(replace(INITIAL_CONFIG, service_classes=classes)))
+    service.update_endpoints(endpoint_entry("w0"))
+    assert service.attempts[1]
     assert [
-        type(command) for command in service.end(1, 0, AttemptOutcome.ERROR) if type(command) is not WriteLog
+        type(command)
+        for command in service.end_attempt(1, 0, AttemptOutcome.ERROR)
+        if type(command) is not WriteLog
     ] == [FailRequest]
 
 
@@ -116,7 +137,7 @@
     extras: str, target: str, expected: tuple[Any, ...]
 ) -> None:
     connection = ServerHttpConnection({"view": 3_000_000}, ())
-    connection.feed(submit(target, Req_Extra=extras, Req_Kind="view"))
+    connection.feed(submit_bytes(target, Req_Extra=extras, Req_Kind="view"))
     message = connection.next_message()
     assert isinstance(message, SubmitRequest)
     event = arrival_event(message, 9_000_000)
@@ -149,7 +170,7 @@
         reader, writer = await asyncio.open_connection(*self.dispatcher_address)
         for fields in ({"state": "started"}, {"state": "done", "result": job}):
             await asyncio.sleep(0.03)
-            writer.write(call(id=job, **fields, **{"from": "w0"}))
+            writer.write(callback_bytes(id=job, **fields, **{"from": "w0"}))
             await reader.readuntil(b"\r\n\r\n")
         writer.close()
 
@@ -161,7 +182,7 @@
     of clients or worker. Every request must get one response; a successful request must have run once, a
     rejected one never. The faulty file must not change the settings.
     """
-    process, address, listening = begin(tmp_path)
+    process, address, listening = start_dispatcher_process(tmp_path)
     path = tmp_path / "start.json"
     initial = json.loads(path.read_text())
     at_most_once_class = {"Name": "cash", "Semantics": "single_shot", "SoftLimit": 900.0, "TimeLimit": 9000.0}
@@ -179,7 +200,7 @@
 
     async def client(name: str, service_class: str) -> None:
         reader, writer = await asyncio.open_connection(*address)
-        writer.write(submit(f"/{service_class}", Req_Id=name, Req_Deadline="6000m"))
+        writer.write(submit_bytes(f"/{service_class}", Req_Id=name, Req_Deadline="6000m"))
         head = await reader.readuntil(b"\r\n\r\n")
         responses.setdefault(name, []).append(head.split(b" ")[1])
         writer.close()
@@ -233,12 +254,12 @@
     Each reload filled the buckets of all tenants, so each time requests worth five seconds of the rate were
     admitted as within the quota. Used tokens must stay used, whatever the reload changes.
     """
-    service = Checked(fleet=1)
-    service.list(listed("w"))  # from here on the clock does not advance
-    quotas = service.dispatcher.admission.quotas
+    service = CheckedScheduler(dispatcher_count=1)
+    service.update_endpoints(endpoint_entry("w"))  # from here on the clock does not advance
+    quotas = service.scheduler.admission.quotas
     within = [quotas.cover("dairy") for _ in range(40)].count(QuotaCoverage.OWN)
     assert within == 26, "five seconds with five requests per second, and one more"
-    for config in (INITIAL_CONFIG, LIVE_CONFIG, terms(3, 1, False, 0.4)):
-        service.turn(ConfigReloaded(config))
+    for config in (INITIAL_CONFIG, LIVE_CONFIG, scheduler_config(3, 1, False, 0.4)):
+        service.step(ConfigReloaded(config))
         assert quotas.cover("dairy") is QuotaCoverage.BEYOND
     assert quotas.cover(None) is QuotaCoverage.OWN
--- a/tests/scheduler/test_retry_budget.py
+++ b/tests/scheduler/test_retry_budget.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import GRADES, Checked, listed
+from helpers import SERVICE_CLASSES, CheckedScheduler, endpoint_entry
 
 from locktide.scheduler.commands import CancelAttempt, WriteLog
 from locktide.scheduler.events import AttemptStarted, RequestArrived
@@ -15,8 +15,8 @@
 
 def attempts() -> tuple[Attempt, Attempt]:
     """Return the first attempt of a request and its retry."""
-    request = Request(RequestArrived("a", "view", DEADLINE), GRADES[0], now=0, sequence=1)
-    endpoint = Endpoint(listed("w"), concurrency_limit=1.0)
+    request = Request(RequestArrived("a", "view", DEADLINE), SERVICE_CLASSES[0], now=0, sequence=1)
+    endpoint = Endpoint(endpoint_entry("w"), concurrency_limit=1.0)
     first = Attempt(request, 0, endpoint, now=0)
     request.possibly_executed.append(first)
     return first, Attempt(request, 1, endpoint, now=0)
@@ -80,24 +80,24 @@
     retry again that would have succeeded. The request must be retried as soon as the budget allows it, and
     only one failure of the worker may be logged.
     """
-    service = Checked(fleet=1)
-    service.list(listed("w"), listed("x"))
+    service = CheckedScheduler(dispatcher_count=1)
+    service.update_endpoints(endpoint_entry("w"), endpoint_entry("x"))
     service.arrive(1, "view")
-    budget = service.dispatcher.retries.budget
+    budget = service.scheduler.retries.budget
     _, retry = attempts()
     use_up(budget, retry)
     if has_started:
-        service.turn(AttemptStarted(1, 0))
+        service.step(AttemptStarted(1, 0))
     service.pass_time(2_000_000)  # more than half its timeout, and more than one and a half report intervals
     assert not cancelled(service)
     for _ in range(11):
         budget.on_success()
     service.pass_time(300_000)
     assert cancelled(service) == [(1, 0)]
-    logged = [command for command in service.orders if type(command) is WriteLog]
+    logged = [command for command in service.commands if type(command) is WriteLog]
     assert len(logged) == 1, "only one failure of the worker is logged"
 
 
-def cancelled(service: Checked) -> list[tuple[object, int]]:
-    commands = [command for command in service.orders if type(command) is CancelAttempt]
+def cancelled(service: CheckedScheduler) -> list[tuple[object, int]]:
+    commands = [command for command in service.commands if type(command) is CancelAttempt]
     return [(command.request_id, command.attempt) for command in commands]
--- a/tests/scheduler/test_retry_eligibility.py
+++ b/tests/scheduler/test_retry_eligibility.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import GRADES, listed
+from helpers import SERVICE_CLASSES, endpoint_entry
 
 from locktide.scheduler.config import ServiceClass
 from locktide.scheduler.events import RequestArrived
@@ -24,7 +24,7 @@
 
 
 def service_class(effect: Effect, scope: DeduplicationScope = DeduplicationScope.CELL) -> ServiceClass:
-    return replace(GRADES[0], effect=effect, deduplication_scope=scope, deduplication_window=WINDOW)
+    return replace(SERVICE_CLASSES[0], effect=effect, deduplication_scope=scope, deduplication_window=WINDOW)
 
 
 def attempted_request(
@@ -33,7 +33,7 @@
     """Return a request with attempts that all may have run."""
     request = Request(RequestArrived(1, "view", 60_000_000), service_class(effect, scope), 0, sequence=1)
     for number in range(attempts):
-        attempt = Attempt(request, number, Endpoint(listed("w"), concurrency_limit=1.0), SENT_AT)
+        attempt = Attempt(request, number, Endpoint(endpoint_entry("w"), concurrency_limit=1.0), SENT_AT)
         request.attempts.append(attempt)
         request.possibly_executed.append(attempt)
     return request
@@ -77,8 +77,8 @@
     key, so a repeat there would run the request twice.
     """
     request = attempted_request(Effect.IDEMPOTENT_WITH_KEY, scope)
-    request.possibly_executed[0].endpoint.update(listed("w", cell=4))
-    neighbours = [Endpoint(listed(f"n{cell}", cell=cell), concurrency_limit=1.0) for cell in (0, 4)]
+    request.possibly_executed[0].endpoint.update(endpoint_entry("w", cell=4))
+    neighbours = [Endpoint(endpoint_entry(f"n{cell}", cell=cell), concurrency_limit=1.0) for cell in (0, 4)]
     assert endpoints_for_repeat(request, neighbours, SENT_AT + 1) == neighbours[:1]
 
 
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from helpers import GRADES, Checked, listed
+from helpers import SERVICE_CLASSES, CheckedScheduler, endpoint_entry
 
 from locktide.dispatcher.settings import SLOW_START_MARGIN
 from locktide.scheduler.commands import CancelAttempt, SetTimer, StartAttempt
@@ -113,7 +113,9 @@
 
     def schedule_list(self) -> None:
         entries = [
-            listed(name, started_at=START * (name in self.warming), kind=f"speed {self.speeds[name]}")
+            endpoint_entry(
+                name, started_at=START * (name in self.warming), worker_type=f"speed {self.speeds[name]}"
+            )
             for name in self.workers
         ]
         for number in range(len(self.schedulers)):
@@ -231,9 +233,9 @@
     Eight seconds of work occupy a worker of eight cores for one second, of the 1.2 s that it may be sent.
     Without a rating, which states the size, the same work counts as four seconds.
     """
-    checked = Checked(fleet=1, live=has_ratings)
-    checked.list(listed("w", rating=8.0, started_at=checked.now))
-    endpoint = checked.dispatcher.endpoints.by_id["w"]
+    checked = CheckedScheduler(dispatcher_count=1, has_live_ratings=has_ratings)
+    checked.update_endpoints(endpoint_entry("w", rating=8.0, started_at=checked.now))
+    endpoint = checked.scheduler.endpoints.by_id["w"]
     arrival = RequestArrived(1, "view", checked.now + 3_000_000, work_hint=8_000_000)
-    request = Request(arrival, GRADES[0], checked.now, 1)
-    assert checked.dispatcher.slow_start.allows(endpoint, request) == is_allowed
+    request = Request(arrival, SERVICE_CLASSES[0], checked.now, 1)
+    assert checked.scheduler.slow_start.allows(endpoint, request) == is_allowed
--- a/tests/simulation/test_latency.py
+++ b/tests/simulation/test_latency.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from helpers import until
+from helpers import wait_until
 
 from locktide.simulation.latency import DelayedDirection
 from locktide.simulation.model.network import CLIENT, DISPATCHER, Machine
@@ -45,7 +45,7 @@
         way = DelayedDirection(links, Machine(CLIENT, 0, 0), Machine(DISPATCHER, 0, 0))  # type: ignore[arg-type]
         for number in range(PIECES):
             way.push(arrived.append, number)
-        await until(lambda: len(arrived) == PIECES)
+        await wait_until(lambda: len(arrived) == PIECES)
         return arrived
 
     assert asyncio.run(run()) == list(range(PIECES))
--- a/tests/transport/test_endpoint_watch.py
+++ b/tests/transport/test_endpoint_watch.py
@@ -8,7 +8,7 @@
 
 import pytest
 from endpoint_lists import list_body, list_entry
-from helpers import HandPlayed, free_address, terms
+from helpers import DispatcherHarness, free_address, scheduler_config
 
 from locktide.config import start
 from locktide.protocol import names
@@ -95,17 +95,17 @@
             writer.close()  # the connection of the valid list stays open
 
     async def run() -> None:
-        harness = HandPlayed()
+        harness = DispatcherHarness()
         listening = await asyncio.start_server(agent, "127.0.0.1", 0)
-        harness.node.settings.discovery = listening.sockets[0].getsockname()
-        harness.node.follower.watch(harness.node.follower.follow())
-        while "w5" not in harness.node.endpoints.entries:
-            assert harness.node.endpoints.accepts_requests("w0")
+        harness.dispatcher.settings.discovery = listening.sockets[0].getsockname()
+        harness.dispatcher.follower.watch(harness.dispatcher.follower.follow())
+        while "w5" not in harness.dispatcher.endpoints.entries:
+            assert harness.dispatcher.endpoints.accepts_requests("w0")
             await asyncio.sleep(0.001)
-        assert calls == len(responses) and not harness.node.endpoints.accepts_requests("w0")
+        assert calls == len(responses) and not harness.dispatcher.endpoints.accepts_requests("w0")
         assert [line for line in harness.lines_logged if "no response" in line] != []
-        assert harness.node.follower.watch_task is not None
-        harness.node.follower.watch_task.cancel()
+        assert harness.dispatcher.follower.watch_task is not None
+        harness.dispatcher.follower.watch_task.cancel()
         listening.close()
 
     asyncio.run(run())
@@ -131,11 +131,11 @@
         await reader.read()
 
     async def run() -> None:
-        harness = HandPlayed()
+        harness = DispatcherHarness()
         old = await asyncio.start_server(silent, "127.0.0.1", 0)
         new = await asyncio.start_server(responding, "127.0.0.1", 0)
-        harness.node.settings.discovery = old.sockets[0].getsockname()
-        harness.node.follower.watch(harness.node.follower.follow())
+        harness.dispatcher.settings.discovery = old.sockets[0].getsockname()
+        harness.dispatcher.follower.watch(harness.dispatcher.follower.follow())
         while not calls:
             await asyncio.sleep(0.001)
         new_address = new.sockets[0].getsockname()
@@ -149,15 +149,15 @@
             {},
             250_000,
             30_000_000,
-            terms(3, 1, False, 0.4),
+            scheduler_config(3, 1, False, 0.4),
         )
-        harness.node.reload(new_settings)
-        harness.node.reload(new_settings)
-        while "w5" not in harness.node.endpoints.entries or not ended:
+        harness.dispatcher.reload(new_settings)
+        harness.dispatcher.reload(new_settings)
+        while "w5" not in harness.dispatcher.endpoints.entries or not ended:
             await asyncio.sleep(0.001)
         assert len(calls) == 1 and sum("reload" in line for line in harness.lines_logged) == 2
-        assert harness.node.follower.watch_task is not None
-        harness.node.follower.watch_task.cancel()
+        assert harness.dispatcher.follower.watch_task is not None
+        harness.dispatcher.follower.watch_task.cancel()
         old.close()
         new.close()
 
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from helpers import GRADES, Clerk, call, free_address, submit
+from helpers import SERVICE_CLASSES, RequestHandlerStub, callback_bytes, free_address, submit_bytes
 
 from locktide.protocol.messages import SubmitRequest
 from locktide.transport.client_connection import ConnectionState, PeerRole
@@ -19,8 +19,8 @@
 from locktide.transport.log import Log
 
 
-async def start_listener(handler: Clerk, descriptors: int = 64) -> tuple[Listener, Any]:
-    timeouts = {grade.name: grade.timeout for grade in GRADES}
+async def start_listener(handler: RequestHandlerStub, descriptors: int = 64) -> tuple[Listener, Any]:
+    timeouts = {grade.name: grade.timeout for grade in SERVICE_CLASSES}
     listener = Listener(DescriptorBudget(descriptors), dict(timeouts), set(), 200_000, handler, Log("n0"))
     address = free_address()
     listener.listen(address)
@@ -35,17 +35,17 @@
     monkeypatch.setattr("locktide.transport.client_connection.MESSAGE_TIMEOUT", 0.02)
 
     async def run() -> None:
-        handler = Clerk()
+        handler = RequestHandlerStub()
         listener, address = await start_listener(handler)
         reader, writer = await asyncio.open_connection(*address)
-        writer.write(submit(Req_Id="a", Req_Deadline="9000m"))
-        await handler.until(1)
+        writer.write(submit_bytes(Req_Id="a", Req_Deadline="9000m"))
+        await handler.wait_for_requests(1)
         writer.close()
-        while not handler.left:
+        while not handler.disconnected_ids:
             await asyncio.sleep(0.001)
-        assert handler.left == ["a"]
+        assert handler.disconnected_ids == ["a"]
         reader, writer = await asyncio.open_connection(*address)
-        writer.write(submit(Req_Id="b", Req_Deadline="9000m")[:30])
+        writer.write(submit_bytes(Req_Id="b", Req_Deadline="9000m")[:30])
         assert (await reader.read()).startswith(b"HTTP/1.1 408 ")
         writer.close()
         await listener.stop()
@@ -57,7 +57,7 @@
 async def open_proven(address: Any) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Return an idle connection whose peer has proven to be a worker."""
     reader, writer = await asyncio.open_connection(*address)
-    writer.write(call(id="s0", state="started", **{"from": "w"}))
+    writer.write(callback_bytes(id="s0", state="started", **{"from": "w"}))
     assert (await reader.readline()).startswith(b"HTTP/1.1 204 ")
     await reader.readline()
     return reader, writer
@@ -74,11 +74,11 @@
     monkeypatch.setattr("locktide.transport.client_connection.MESSAGE_TIMEOUT", 0.1)
 
     async def run() -> None:
-        listener, address = await start_listener(Clerk())
+        listener, address = await start_listener(RequestHandlerStub())
         proven_reader, proven_writer = await open_proven(address)
         silent_reader, silent_writer = await asyncio.open_connection(*address)
         dripping_reader, dripping_writer = await asyncio.open_connection(*address)
-        for byte in submit():
+        for byte in submit_bytes():
             dripping_writer.write(bytes([byte]))
             await asyncio.sleep(0.01)
             if dripping_reader.at_eof():
@@ -103,7 +103,7 @@
     """
 
     async def run() -> None:
-        listener, address = await start_listener(Clerk(), descriptors=8)
+        listener, address = await start_listener(RequestHandlerStub(), descriptors=8)
         reader, writer = await open_proven(address)
         flood = [await asyncio.open_connection(*address) for _ in range(30)]
         for silent_reader, _ in flood[:22]:
@@ -125,9 +125,9 @@
     """
 
     async def run() -> None:
-        listener, address = await start_listener(Clerk())
+        listener, address = await start_listener(RequestHandlerStub())
         reader, writer = await asyncio.open_connection(*address)
-        writer.write(submit()[:-4].replace(b"Length: 0", b"Length: 60000000") + b"\r\n\r\n")
+        writer.write(submit_bytes()[:-4].replace(b"Length: 0", b"Length: 60000000") + b"\r\n\r\n")
         for _ in range(300):
             writer.write(b"x" * 200_000)
             await writer.drain()
@@ -147,12 +147,12 @@
     """
 
     async def run() -> None:
-        listener, address = await start_listener(Clerk())
+        listener, address = await start_listener(RequestHandlerStub())
         streams = []
         for number in range(6):
             reader, writer = await asyncio.open_connection(*address)
             streams.append((reader, writer))
-            writer.write(submit(body=b"x" * 60_000)[:-1])
+            writer.write(submit_bytes(body=b"x" * 60_000)[:-1])
             while number < 3 and listener.stored_bytes < (number + 1) * 50_000:
                 await asyncio.sleep(0.001)
         assert (await streams[5][0].readline()).startswith(b"HTTP/1.1 500 ")
@@ -172,13 +172,13 @@
     """
 
     async def run() -> None:
-        handler = Clerk()
+        handler = RequestHandlerStub()
         listener, address = await start_listener(handler)
         reader, writer = await asyncio.open_connection(*address)
-        writer.write(submit(Req_Id="a", Req_Deadline="9000m"))
-        await handler.until(1)
+        writer.write(submit_bytes(Req_Id="a", Req_Deadline="9000m"))
+        await handler.wait_for_requests(1)
         writer.write(b"the rest of a body whose length was wrong")
-        assert (await reader.read()).startswith(b"HTTP/1.1 400 ") and handler.left == ["a"]
+        assert (await reader.read()).startswith(b"HTTP/1.1 400 ") and handler.disconnected_ids == ["a"]
         writer.close()
         await listener.stop()
 
@@ -191,20 +191,20 @@
     """
 
     async def run() -> None:
-        handler = Clerk()
+        handler = RequestHandlerStub()
         listener, address = await start_listener(handler, descriptors=8)
         writers = []
         for number in range(8):
             reader, writer = await asyncio.open_connection(*address)
             writers.append(writer)
             if number < 7:
-                writer.write(submit(Req_Id=f"s{number}", Req_Deadline="9000m"))
-        await handler.until(7)
+                writer.write(submit_bytes(Req_Id=f"s{number}", Req_Deadline="9000m"))
+        await handler.wait_for_requests(7)
         # One more request fails with 500; only the scheduler sheds load with 503.
-        writers[-1].write(submit(Req_Id="one-more", Req_Deadline="9000m"))
+        writers[-1].write(submit_bytes(Req_Id="one-more", Req_Deadline="9000m"))
         assert (await reader.readline()).startswith(b"HTTP/1.1 500 ")
         reader, writer = await asyncio.open_connection(*address)
-        writer.write(call(id="s0", state="started", **{"from": "w"}))
+        writer.write(callback_bytes(id="s0", state="started", **{"from": "w"}))
         assert (await reader.readline()).startswith(b"HTTP/1.1 204 ")
         for open_writer in [*writers, writer]:
             open_writer.close()
@@ -220,7 +220,7 @@
     """
 
     async def run() -> None:
-        handler = Clerk()
+        handler = RequestHandlerStub()
         listener = Listener(DescriptorBudget(20), {"view": 3_000_000}, set(), 1 << 20, handler, Log("n0"))
         address = free_address()
         listener.listen(address)
@@ -234,8 +234,8 @@
             await asyncio.sleep(0.001)
         await listener.wind_down()
         assert await kept_reader.read() == b""
-        new_writer.write(submit())
-        await handler.until(1)
+        new_writer.write(submit_bytes())
+        await handler.wait_for_requests(1)
         await listener.stop()
 
     asyncio.run(run())
@@ -249,7 +249,7 @@
     """
 
     async def run() -> None:
-        handler, stop = Clerk(), asyncio.Event()
+        handler, stop = RequestHandlerStub(), asyncio.Event()
         listener = Listener(DescriptorBudget(20), {"view": 3_000_000}, set(), 1 << 20, handler, Log("n0"))
         address = free_address()
         listener.listen(address)
@@ -265,9 +265,9 @@
             await asyncio.sleep(0.001)
         next(iter(listener.connections)).peer = PeerRole.CLIENT  # as by a submission that was answered
         await asyncio.sleep(0.02)
-        client.sendall(submit())  # the listener does not run between this line ...
+        client.sendall(submit_bytes())  # the listener does not run between this line ...
         stop.set()  # ... and this one
-        await asyncio.wait_for(handler.until(1), 2.0)
+        await asyncio.wait_for(handler.wait_for_requests(1), 2.0)
         await stopping
         await listener.stop()
         client.close()
@@ -275,7 +275,7 @@
     asyncio.run(run())
 
 
-class TimeoutRecorder(Clerk):
+class TimeoutRecorder(RequestHandlerStub):
     """Records the remaining time of each request, in seconds."""
 
     def __init__(self) -> None:
@@ -300,20 +300,20 @@
         handler = TimeoutRecorder()
         listener, address = await start_listener(handler, descriptors=1)
         first_reader, first = await asyncio.open_connection(*address)
-        first.write(submit(Req_Id="a", Req_Deadline="9000m"))
-        await handler.until(1)
+        first.write(submit_bytes(Req_Id="a", Req_Deadline="9000m"))
+        await handler.wait_for_requests(1)
         second_reader, second = await asyncio.open_connection(*address)
-        second.write(submit(Req_Id="b", Req_Deadline="9000m"))
+        second.write(submit_bytes(Req_Id="b", Req_Deadline="9000m"))
         await asyncio.sleep(0.5)  # real time, as the kernel measures the wait
-        assert handler.taken == ["a"], "the second request was read without a descriptor"
-        handler.answers[0].set_result(Response(200))
-        await handler.until(2)
+        assert handler.received_ids == ["a"], "the second request was read without a descriptor"
+        handler.responses[0].set_result(Response(200))
+        await handler.wait_for_requests(2)
         assert handler.timeouts["a"] == 9.0
         assert handler.timeouts["b"] <= 8.55
-        handler.answers[1].set_result(Response(200))
+        handler.responses[1].set_result(Response(200))
         assert (await second_reader.readline()).startswith(b"HTTP/1.1 200 ")
-        second.write(submit(Req_Id="c", Req_Deadline="9000m"))
-        await handler.until(3)
+        second.write(submit_bytes(Req_Id="c", Req_Deadline="9000m"))
+        await handler.wait_for_requests(3)
         assert handler.timeouts["c"] == 9.0
         first.close()
         second.close()
@@ -332,14 +332,14 @@
         handler = TimeoutRecorder()
         listener, address = await start_listener(handler)
         with socket.create_connection(address, timeout=5.0) as client:
-            client.sendall(submit(Req_Id="a", Req_Deadline="9000m"))
-            await handler.until(1)
-            handler.answers[0].set_result(Response(200))
+            client.sendall(submit_bytes(Req_Id="a", Req_Deadline="9000m"))
+            await handler.wait_for_requests(1)
+            handler.responses[0].set_result(Response(200))
             while not next(iter(listener.connections)).is_idle:
                 await asyncio.sleep(0.001)
-            client.sendall(submit(Req_Id="b", Req_Deadline="9000m"))
+            client.sendall(submit_bytes(Req_Id="b", Req_Deadline="9000m"))
             time.sleep(0.3)  # noqa: ASYNC251 - the stall
-            await handler.until(2)
+            await handler.wait_for_requests(2)
         assert handler.timeouts["a"] == 9.0
         assert handler.timeouts["b"] <= 8.75
         await listener.stop()
--- a/tests/transport/test_newcomers.py
+++ b/tests/transport/test_newcomers.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 import pytest
-from helpers import Clerk, free_address, submit
+from helpers import RequestHandlerStub, free_address, submit_bytes
 
 from locktide.config.address import Address
 from locktide.transport.descriptor_budget import DescriptorBudget
@@ -51,7 +51,7 @@
     with socket.create_connection(address, timeout=TIME_LIMIT) as connection:
         time.sleep(delay)
         try:
-            connection.sendall(submit(Req_Id=f"new{number}", Req_Deadline="9000m"))
+            connection.sendall(submit_bytes(Req_Id=f"new{number}", Req_Deadline="9000m"))
             sent_after = time.monotonic() - began
             return Newcomer(sent_after, connection.recv(1024))
         except ConnectionError:
@@ -62,7 +62,7 @@
     """A listener with every descriptor in use, by requests that wait and by idle proven clients."""
 
     def __init__(self) -> None:
-        self.handler = Clerk()
+        self.handler = RequestHandlerStub()
         timeouts = {"view": 3_000_000}
         self.listener = Listener(
             DescriptorBudget(DESCRIPTORS), timeouts, set(), 1 << 20, self.handler, Log("n0")
@@ -75,19 +75,19 @@
         self.listener.listen(self.address)
         for number in range(PROVEN):
             reader, writer = await asyncio.open_connection(*self.address)
-            writer.write(submit(Req_Id=f"proven{number}", Req_Deadline="9000m"))
+            writer.write(submit_bytes(Req_Id=f"proven{number}", Req_Deadline="9000m"))
             self.writers.append(writer)
             self.idle_readers.append(reader)
-        await self.handler.until(PROVEN)
-        for response in self.handler.answers:
+        await self.handler.wait_for_requests(PROVEN)
+        for response in self.handler.responses:
             response.set_result(Response(200))
         for reader in self.idle_readers:
             await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIME_LIMIT)
         for number in range(WAITING):
             _, writer = await asyncio.open_connection(*self.address)
-            writer.write(submit(Req_Id=f"waits{number}", Req_Deadline="9000m"))
+            writer.write(submit_bytes(Req_Id=f"waits{number}", Req_Deadline="9000m"))
             self.writers.append(writer)
-        await self.handler.until(PROVEN + WAITING)
+        await self.handler.wait_for_requests(PROVEN + WAITING)
         assert self.listener.descriptors.used == DESCRIPTORS
 
     def idle_proven_count(self) -> int:
--- a/tests/transport/test_upstream_pool.py
+++ b/tests/transport/test_upstream_pool.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from helpers import TAKEN
+from helpers import ACCEPTED_RESPONSE
 
 from locktide.protocol.client_connection import UpstreamRequest, UpstreamResponse
 from locktide.scheduler.types import AttemptOutcome
@@ -59,7 +59,7 @@
     """
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        for reply in (TAKEN % 0, second_reply):
+        for reply in (ACCEPTED_RESPONSE % 0, second_reply):
             await reader.readuntil(b"x" * 100)
             writer.write(reply)
         writer.close()
@@ -123,7 +123,7 @@
         try:
             while True:
                 await reader.readuntil(b"x" * 100)
-                writer.write(TAKEN % 0)
+                writer.write(ACCEPTED_RESPONSE % 0)
         except asyncio.IncompleteReadError:
             writer.close()
 
@@ -148,7 +148,7 @@
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"x" * 100)
-        writer.write(TAKEN % 0)
+        writer.write(ACCEPTED_RESPONSE % 0)
         writer.close()
 
     async def run() -> None:
@@ -180,7 +180,7 @@
         nonlocal accepted
         accepted += 1
         await reader.readuntil(b"x" * 100)
-        writer.write(TAKEN % 0)
+        writer.write(ACCEPTED_RESPONSE % 0)
         if accepted == 1:
             await asyncio.sleep(0.01)  # the first response is read by then
             writer.write(b"HTTP/1.1 503 Twice\r\nContent-Length: 0\r\n\r\n")
@@ -217,7 +217,7 @@
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"x" * 100)
             served.append(name)
-            writer.write(TAKEN % 0)
+            writer.write(ACCEPTED_RESPONSE % 0)
             await reader.read()
             writer.close()
 
