--- a/locktide/__main__.py
+++ b/locktide/__main__.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from locktide.dispatcher.signals import hold_back_signals
+from locktide.dispatcher.signals import block_signals
 
 if __name__ == "__main__":
-    hold_back_signals()  # before the imports below, which take much of the start-up time
+    block_signals()  # before the imports below, which take much of the start-up time
 
 import asyncio
 import os
--- a/locktide/cli/main.py
+++ b/locktide/cli/main.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from locktide.cli.entry import hold_back_signals_of_serve
+from locktide.cli.entry import block_signals_of_serve
 
 if __name__ == "__main__":
-    hold_back_signals_of_serve()  # before the imports below
+    block_signals_of_serve()  # before the imports below
 
 from importlib import import_module
 
--- a/locktide/dispatcher/service.py
+++ b/locktide/dispatcher/service.py
@@ -11,7 +11,7 @@
 from locktide.config.errors import ConfigError
 from locktide.config.start import Start
 from locktide.dispatcher.dispatcher import Dispatcher
-from locktide.dispatcher.signals import hold_back_signals, let_signals_through
+from locktide.dispatcher.signals import block_signals, unblock_signals
 from locktide.protocol.discovery import DiscoveryUpdate
 from locktide.transport.log import Log
 
@@ -40,7 +40,7 @@
         attach: Functions that attach a service each, before the dispatcher serves; an exception ends the
             start.
     """
-    hold_back_signals()
+    block_signals()
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -54,10 +54,10 @@
             log.emit(f"reload: {error}; the old settings stay", event="config_rejected", error=str(error))
 
     loop.add_signal_handler(signal.SIGHUP, reload)
-    let_signals_through()
+    unblock_signals()
     gc.freeze()  # the objects created so far stay: later garbage collections can skip them
     services = [await attach_service(dispatcher) for attach_service in attach]
     await dispatcher.run(stop)
     for service in services:
         await service.close()
-    hold_back_signals()  # the event loop removes its signal handlers when it closes
+    block_signals()  # the event loop removes its signal handlers when it closes
--- a/locktide/dispatcher/signals.py
+++ b/locktide/dispatcher/signals.py
@@ -1,4 +1,4 @@
-"""Holds back the signals of a dispatcher while it has no handlers, so that none ends the process.
+"""Blocks the signals of a dispatcher while it has no handlers, so that none ends the process.
 
 Imports only the standard library's `signal`, as it is called before every other import.
 """
@@ -11,8 +11,8 @@
 HANDLED_SIGNALS = frozenset({signal.SIGHUP, signal.SIGINT, signal.SIGTERM})
 
 
-def hold_back_signals() -> None:
-    """Block the signals of a dispatcher; a signal that arrives meanwhile waits for `let_signals_through`.
+def block_signals() -> None:
+    """Block the signals of a dispatcher; a signal that arrives meanwhile waits for `unblock_signals`.
 
     Without a handler each of them ends the process at once: a reload right after a start, before the event
     loop ran, was a crash, and a second SIGTERM after the loop was closed turned an orderly exit into one by
@@ -21,6 +21,6 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-def let_signals_through() -> None:
-    """Deliver the signals that were held back; called once their handlers are installed."""
+def unblock_signals() -> None:
+    """Deliver the signals that were blocked; called once their handlers are installed."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
--- a/tests/dispatcher/test_signals.py
+++ b/tests/dispatcher/test_signals.py
@@ -109,7 +109,7 @@
 def test_signals_are_held_back_before_anything_that_takes_long_is_imported(module: str) -> None:
     """A SIGHUP in the first 0.8 s of `locktide serve` ended the process with -1 during its imports.
 
-    The signals must be held back before asyncio, click, h11 or msgspec are loaded.
+    The signals must be blocked before asyncio, click, h11 or msgspec are loaded.
     """
     code = f"{PRINT_SLOW_IMPORTS}\nrunpy.run_module({module!r}, run_name='__main__')"
     result = subprocess.run(
@@ -130,10 +130,10 @@
 
 
 def test_commands_that_serve_nothing_still_end_by_signals() -> None:
-    """If the signals stayed held back, SIGINT or a closed terminal would not end a simulation."""
+    """If the signals stayed blocked, SIGINT or a closed terminal would not end a simulation."""
     code = "import sys; sys.argv = ['locktide', 'simulate', '--help']\n"
     code += "import locktide.cli.entry, signal\n"
-    code += "locktide.cli.entry.hold_back_signals_of_serve()\n"
+    code += "locktide.cli.entry.block_signals_of_serve()\n"
     code += "print(signal.pthread_sigmask(signal.SIG_BLOCK, set()))"
     result = subprocess.run(
         [sys.executable, "-c", code], cwd=REPOSITORY, capture_output=True, text=True, check=False
