--- a/locktide/dispatcher/settings.py
+++ b/locktide/dispatcher/settings.py
@@ -67,7 +67,7 @@
         settings.discovery = start.discovery
         settings.endpoint_list = start.scheduler_config.endpoint_list
         settings.connect_within = start.connect_within
-        self.upstream.set_spans(start.connect_within, start.idle_close)
+        self.upstream.set_timeouts(start.connect_within, start.idle_close)
         self._apply_service_classes(start)
         # Never reduced: a request that arrived under a longer timeout may still be open.
         settings.longest_timeout = max(settings.longest_timeout, *self.listener.timeouts.values())
--- a/locktide/transport/upstream_pool.py
+++ b/locktide/transport/upstream_pool.py
@@ -32,12 +32,12 @@
     """
 
     def __init__(self, descriptors: DescriptorBudget, connect_within: int, idle_close: int) -> None:
-        """Create a pool without connections; the times are those of `set_spans`."""
+        """Create a pool without connections; the times are those of `set_timeouts`."""
         self.descriptors = descriptors
         self.idle = IdleConnections()
-        self.set_spans(connect_within, idle_close)
+        self.set_timeouts(connect_within, idle_close)
 
-    def set_spans(self, connect_within: int, idle_close: int) -> None:
+    def set_timeouts(self, connect_within: int, idle_close: int) -> None:
         """Set the timeouts; they apply to connections that are idle already as well.
 
         Args:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -505,7 +505,7 @@
             exchange.is_cancelled = True
             raise
 
-    def set_spans(self, connect_within: int, idle_close: int) -> None:
+    def set_timeouts(self, connect_within: int, idle_close: int) -> None:
         """Record the timeouts."""
         self.timeouts = connect_within, idle_close
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -442,7 +442,7 @@
                 await running
         except TimeoutError:
             rig.report_violation("lost: the dispatcher does not stop")
-        dispatcher.upstream.set_spans(1, 0)
+        dispatcher.upstream.set_timeouts(1, 0)
         await asyncio.sleep(1.0)
         rig.check_end(dispatcher)
 
