--- a/locktide/dispatcher/cancellation_delivery.py
+++ b/locktide/dispatcher/cancellation_delivery.py
@@ -63,7 +63,9 @@
         send_count = 0
         while True:
             is_repeated = send_count > 0
-            if await self._send(request.message.id, attempt.worker, connect_timeout, fresh=is_repeated):
+            if await self._send(
+                request.message.id, attempt.worker, connect_timeout, on_new_connection=is_repeated
+            ):
                 return True
             send_count += 1
             if send_count < IMMEDIATE_SENDS:
@@ -73,10 +75,12 @@
                 return False
             await asyncio.sleep(RESEND_DELAY_TIMEOUTS * connect_timeout)
 
-    async def _send(self, request_id: str, worker: str, connect_timeout: float, fresh: bool) -> bool:
-        """Send the message once, on a new connection if `fresh`; return whether the worker is notified."""
+    async def _send(
+        self, request_id: str, worker: str, connect_timeout: float, on_new_connection: bool
+    ) -> bool:
+        """Send the message once, on a new or an idle connection; return whether the worker is notified."""
         message = _Message(worker_messages.cancel_request(request_id))
-        timeout = NEW_CONNECTION_TIMEOUTS * connect_timeout if fresh else connect_timeout
+        timeout = NEW_CONNECTION_TIMEOUTS * connect_timeout if on_new_connection else connect_timeout
         address = self.endpoints.addresses.get(worker)
         if address is None:
             return False
@@ -84,10 +88,10 @@
             # A silent worker must not delay the next send.
             async with asyncio.timeout(timeout):
                 reply = await self.upstream.send(
-                    worker, address, message.build, message.note_sent, fresh=fresh
+                    worker, address, message.build, message.note_sent, on_new_connection=on_new_connection
                 )
         except TimeoutError:
-            return message.was_sent and fresh
+            return message.was_sent and on_new_connection
         return isinstance(reply, UpstreamResponse)
 
     @staticmethod
--- a/locktide/transport/interfaces.py
+++ b/locktide/transport/interfaces.py
@@ -78,8 +78,8 @@
         worker: str,
         address: Address,
         build: Callable[[], UpstreamRequest | None],
-        sent: Callable[[], None],
-        fresh: bool = False,
+        on_sent: Callable[[], None],
+        on_new_connection: bool = False,
     ) -> SendResult:
         """Send a request; return its response, outcome or failure. A cancellation closes the connection.
 
@@ -87,6 +87,6 @@
             worker: Name of the worker.
             address: Its address.
             build: Called right before the first byte; returns None if the request must not be sent any more.
-            sent: Called once the kernel has taken the last byte.
-            fresh: Whether to send it on a new connection instead of an idle one.
+            on_sent: Called once the kernel has taken the last byte.
+            on_new_connection: Whether to send it on a new connection instead of an idle one.
         """
--- a/locktide/transport/upstream_exchange.py
+++ b/locktide/transport/upstream_exchange.py
@@ -34,13 +34,13 @@
 
 
 async def exchange(
-    connection: UpstreamConnection, build: Callable[[], UpstreamRequest | None], sent: Callable[[], None]
+    connection: UpstreamConnection, build: Callable[[], UpstreamRequest | None], on_sent: Callable[[], None]
 ) -> SendResult:
     """Send a request on an open connection; return its response, or the outcome or failure.
 
-    `build` and `sent` are those of `RequestSender.send`.
+    `build` and `on_sent` are those of `RequestSender.send`.
     """
-    on_written = OneTimeCallback(sent)
+    on_written = OneTimeCallback(on_sent)
     try:
         request = build()
         if request is None:
--- a/locktide/transport/upstream_pool.py
+++ b/locktide/transport/upstream_pool.py
@@ -52,18 +52,18 @@
         worker: str,
         address: Address,
         build: Callable[[], UpstreamRequest | None],
-        sent: Callable[[], None],
-        fresh: bool = False,
+        on_sent: Callable[[], None],
+        on_new_connection: bool = False,
     ) -> SendResult:
         """Send a request; see `RequestSender.send`."""
         try:
-            connection = await self._acquire(worker, address, fresh)
+            connection = await self._acquire(worker, address, on_new_connection)
         except NoDescriptorError:
             return AttemptOutcome.NEVER_SENT
         except ConnectError:
             return AttemptOutcome.NO_CONNECTION
         try:
-            return await exchange(connection, build, sent)
+            return await exchange(connection, build, on_sent)
         finally:
             self._give_back(connection)
 
@@ -84,14 +84,14 @@
         connection.abort()
         self.descriptors.release(connection)
 
-    async def _acquire(self, worker: str, address: Address, fresh: bool) -> UpstreamConnection:
-        """Return an idle connection, or a new one if there is none or `fresh` is set.
+    async def _acquire(self, worker: str, address: Address, on_new_connection: bool) -> UpstreamConnection:
+        """Return an idle connection, or a new one if there is none or `on_new_connection` is set.
 
         Raises:
             NoDescriptorError: No descriptor became free in time.
             ConnectError: The new connection could not be established.
         """
-        connection = None if fresh else self._take_idle(worker, address)
+        connection = None if on_new_connection else self._take_idle(worker, address)
         return connection or await self._open(worker, address)
 
     async def _open(self, worker: str, address: Address) -> UpstreamConnection:
--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -109,14 +109,14 @@
         self.begun: list[str] = []
 
     async def send(
-        self, worker: str, address: Any, build: Any, sent: Any, fresh: bool = False
+        self, worker: str, address: Any, build: Any, on_sent: Any, on_new_connection: bool = False
     ) -> UpstreamResponse | str:
         message = build()
         if message is None:
             return AttemptOutcome.NEVER_SENT
         self.begun.append(f"{message.method} {worker}")
-        sent()
-        return await super().send(worker, address, build, sent, fresh)
+        on_sent()
+        return await super().send(worker, address, build, on_sent, on_new_connection)
 
 
 @pytest.mark.parametrize("disconnect", [socket.socket.close, reset])
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -494,10 +494,10 @@
         self.dispatcher.scheduler.step = recorded_step  # type: ignore[method-assign]
 
     async def send(
-        self, worker: str, address: Any, build: Any, sent: Any, fresh: bool = False
+        self, worker: str, address: Any, build: Any, on_sent: Any, on_new_connection: bool = False
     ) -> UpstreamResponse | str:
         """Record the exchange and wait for the result that the test gives to it."""
-        exchange = ManualExchange(worker, build, sent, fresh)
+        exchange = ManualExchange(worker, build, on_sent, on_new_connection)
         self.exchanges.append(exchange)
         try:
             return await exchange.result
