--- a/locktide/cli/serve.py
+++ b/locktide/cli/serve.py
@@ -34,11 +34,11 @@
     """Return what attaches each service that the file enables; one that is off is not even imported."""
     attach_functions: list[Callable[[Dispatcher], Awaitable[AttachedService]]] = []
     if installation.cluster.enabled:
-        from locktide.cluster.bootstrap import join  # noqa: PLC0415
+        from locktide.cluster.bootstrap import start_cluster_member  # noqa: PLC0415
 
         async def attach_cluster(dispatcher: Dispatcher) -> AttachedService:
             try:
-                return await join(dispatcher.bridge, installation, log)
+                return await start_cluster_member(dispatcher.bridge, installation, log)
             except OSError as error:
                 raise ServiceStartError(f"accord.listen: {error}") from None
 
--- a/locktide/cluster/bootstrap.py
+++ b/locktide/cluster/bootstrap.py
@@ -89,7 +89,9 @@
     return Path(path).open("a", encoding="utf-8")  # noqa: SIM115 - the file stays open while the member runs
 
 
-async def join(event_source: EventSource, installation: Installation, log: Log) -> UdpTransport:
+async def start_cluster_member(
+    event_source: EventSource, installation: Installation, log: Log
+) -> UdpTransport:
     """Start the cluster member of a dispatcher, which joins the cluster.
 
     Raises:
