--- a/tests/dispatcher/test_endings.py
+++ b/tests/dispatcher/test_endings.py
@@ -106,7 +106,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.begun: list[str] = []
+        self.sent_messages: list[str] = []
 
     async def send(
         self, worker: str, address: Any, build: Any, on_sent: Any, on_new_connection: bool = False
@@ -114,7 +114,7 @@
         message = build()
         if message is None:
             return AttemptOutcome.NEVER_SENT
-        self.begun.append(f"{message.method} {worker}")
+        self.sent_messages.append(f"{message.method} {worker}")
         on_sent()
         return await super().send(worker, address, build, on_sent, on_new_connection)
 
@@ -140,16 +140,16 @@
         disconnect(client)
         harness.update_endpoint("w1", EndpointState.READY)  # the dispatcher has not run in between
         await until(lambda: not harness.dispatcher.registry.open_requests)
-        assert harness.begun == []
+        assert harness.sent_messages == []
 
         client = socket.create_connection(address)
         client.sendall(submit_bytes(Req_Id="a2", Req_Deadline="3000m"))
-        await until(lambda: harness.begun)
+        await until(lambda: harness.sent_messages)
         harness.update_endpoint("w2", EndpointState.READY)
         disconnect(client)
         harness.exchanges[-1].end(AttemptOutcome.RESET)  # a retry would be sent to another worker
         await until(lambda: not harness.dispatcher.registry.open_requests)
-        assert harness.begun == ["POST w1"]
+        assert harness.sent_messages == ["POST w1"]
         await harness.dispatcher.listener.stop()
 
     asyncio.run(run())
@@ -384,21 +384,21 @@
             await reader.read()
 
         listening = await asyncio.start_server(agent, "127.0.0.1", 0)
-        node = harness.dispatcher
-        node.settings.discovery, node.startup.listen_address = (
+        dispatcher = harness.dispatcher
+        dispatcher.settings.discovery, dispatcher.startup.listen_address = (
             listening.sockets[0].getsockname(),
             free_address(),
         )
-        running = asyncio.create_task(node.run(stop))
+        running = asyncio.create_task(dispatcher.run(stop))
         await was_called.wait()
         with pytest.raises(ConnectionRefusedError):
-            socket.create_connection(node.startup.listen_address)
+            socket.create_connection(dispatcher.startup.listen_address)
         may_respond.set()
-        await until(node.is_ready)
-        socket.create_connection(node.startup.listen_address).close()
-        assert not any(node.endpoints.accepts_requests(worker) for worker in ("w0", "w1", "w2"))
+        await until(dispatcher.is_ready)
+        socket.create_connection(dispatcher.startup.listen_address).close()
+        assert not any(dispatcher.endpoints.accepts_requests(worker) for worker in ("w0", "w1", "w2"))
         running.cancel()
-        await node.listener.stop()
+        await dispatcher.listener.stop()
         listening.close()
 
     asyncio.run(run())
--- a/tests/dispatcher/test_list_notifications.py
+++ b/tests/dispatcher/test_list_notifications.py
@@ -122,17 +122,17 @@
 
     async def run() -> None:
         agent, harness, stop = Agent(), DispatcherHarness(), asyncio.Event()
-        agent.changed, agent.silent, node = ("w0", "w1"), silent, harness.dispatcher
-        node.upstream.close_expired = lambda: None  # type: ignore[method-assign]
+        agent.changed, agent.silent, dispatcher = ("w0", "w1"), silent, harness.dispatcher
+        dispatcher.upstream.close_expired = lambda: None  # type: ignore[method-assign]
         listening = await asyncio.start_server(agent.serve, "127.0.0.1", 0)
-        node.settings.discovery, node.startup.listen_address = (
+        dispatcher.settings.discovery, dispatcher.startup.listen_address = (
             listening.sockets[0].getsockname(),
             free_address(),
         )
-        running = asyncio.create_task(node.run(stop))
-        while not node.is_ready():
+        running = asyncio.create_task(dispatcher.run(stop))
+        while not dispatcher.is_ready():
             await asyncio.sleep(0.002)
-        ready = [worker for worker in ("w0", "w1", "w2") if node.endpoints.accepts_requests(worker)]
+        ready = [worker for worker in ("w0", "w1", "w2") if dispatcher.endpoints.accepts_requests(worker)]
         assert ready == (["w0", "w1", "w2"] if silent else [])
         running.cancel()
         listening.close()
--- a/tests/dispatcher/test_many_dispatchers.py
+++ b/tests/dispatcher/test_many_dispatchers.py
@@ -202,28 +202,28 @@
     async def run() -> None:
         harness = polling_harness()
         targets: list[str] = []
-        node = harness.dispatcher
+        dispatcher = harness.dispatcher
         listening = await start_agent([BUSY, list_response(2, False)], targets)
-        node.settings.discovery = listening.sockets[0].getsockname()
-        node.follower.watch(node.follower.follow_when_requested())
+        dispatcher.settings.discovery = listening.sockets[0].getsockname()
+        dispatcher.follower.watch(dispatcher.follower.follow_when_requested())
         await asyncio.sleep(0.01)
         assert not targets, "called before the scheduler requested it"
-        node.follower.watch_requested.set()
+        dispatcher.follower.watch_requested.set()
         failed = EndpointListUpdate(ListUpdateKind.FETCH_FAILED, [])
         while not any(failed in events for _, events in harness.steps):
             await asyncio.sleep(0.002)
-        assert targets == [AFTER % 1] and not node.follower.watch_requested.is_set()
+        assert targets == [AFTER % 1] and not dispatcher.follower.watch_requested.is_set()
         while len(targets) < 2:  # after the delay that the scheduler chooses
             await asyncio.sleep(0.002)
         assert targets[1] == AFTER % 1
         for _ in range(1000):  # a limit only: the response to the second call arrives at once
-            if not node.scheduler.endpoint_polling.failures:
+            if not dispatcher.scheduler.endpoint_polling.failures:
                 break
             await asyncio.sleep(0.002)
-        failures = node.scheduler.endpoint_polling.failures
+        failures = dispatcher.scheduler.endpoint_polling.failures
         assert failures == 0, "a response without changes must end the failures as well"
-        assert node.follower.watch_task is not None
-        node.follower.watch_task.cancel()
+        assert dispatcher.follower.watch_task is not None
+        dispatcher.follower.watch_task.cancel()
         listening.close()
 
     asyncio.run(run())
@@ -288,13 +288,13 @@
     async def run() -> None:
         harness = polling_harness()
         targets: list[str] = []
-        node = harness.dispatcher
+        dispatcher = harness.dispatcher
         set_endpoint_list_config(harness, EndpointListConfig(True, 20_000))
         listening = await start_agent([], targets)
-        node.settings.discovery = listening.sockets[0].getsockname()
-        node.follower.watch_requested.set()
-        node.follower.watch(node.follower.follow_when_requested())
-        node.submit(submit_request("a"))
+        dispatcher.settings.discovery = listening.sockets[0].getsockname()
+        dispatcher.follower.watch_requested.set()
+        dispatcher.follower.watch(dispatcher.follower.follow_when_requested())
+        dispatcher.submit(submit_request("a"))
         assert (await harness.sent_attempt("a")).worker in ("w0", "w1", "w2")  # from the cached list
         for _ in range(200):
             await asyncio.sleep(0.005)
@@ -303,8 +303,8 @@
         failed = EndpointListUpdate(ListUpdateKind.FETCH_TIMED_OUT, [])
         failure_count = sum(failed in events for _, events in harness.steps)
         assert len(targets) == 4 and 3 <= failure_count <= 4, "one call for each command of the scheduler"
-        assert node.follower.watch_task is not None
-        node.follower.watch_task.cancel()
+        assert dispatcher.follower.watch_task is not None
+        dispatcher.follower.watch_task.cancel()
         listening.close()
 
     asyncio.run(run())
@@ -345,19 +345,21 @@
     async def run() -> None:
         harness = polling_harness()
         targets: list[str] = []
-        node = harness.dispatcher
+        dispatcher = harness.dispatcher
         listening = await start_agent([BUSY, list_response(7, True)], targets)
         address = listening.sockets[0].getsockname()
         settings = scheduler_config(3, 1, True, 0.4)
-        node.reload(start.Start("n0", address, address, 7, 100, 80 << 20, {}, 250_000, 30_000_000, settings))
+        dispatcher.reload(
+            start.Start("n0", address, address, 7, 100, 80 << 20, {}, 250_000, 30_000_000, settings)
+        )
         while len(targets) < 3:
             await asyncio.sleep(0.002)
         assert targets == [names.INSTANCES, names.INSTANCES, AFTER % 7]
         assert EndpointListUpdate(ListUpdateKind.FETCH_FAILED, []) in [
             event for _, events in harness.steps for event in events
         ]
-        assert node.follower.watch_task is not None
-        node.follower.watch_task.cancel()
+        assert dispatcher.follower.watch_task is not None
+        dispatcher.follower.watch_task.cancel()
         listening.close()
 
     asyncio.run(run())
@@ -401,16 +403,16 @@
         harness = polling_harness()
         targets: list[str] = []
         stop = asyncio.Event()
-        node = harness.dispatcher
-        node.upstream.close_expired = lambda: None  # type: ignore[method-assign]
+        dispatcher = harness.dispatcher
+        dispatcher.upstream.close_expired = lambda: None  # type: ignore[method-assign]
         listening = await start_agent([], targets)
-        node.settings.discovery, node.startup.listen_address = (
+        dispatcher.settings.discovery, dispatcher.startup.listen_address = (
             listening.sockets[0].getsockname(),
             free_address(),
         )
-        running = asyncio.create_task(node.run(stop))
+        running = asyncio.create_task(dispatcher.run(stop))
         await asyncio.sleep(0.01)
-        response = node.submit(submit_request("a"))
+        response = dispatcher.submit(submit_request("a"))
         attempt = await harness.sent_attempt("a")
         stop.set()
         await asyncio.sleep(0.05)
--- a/tests/dispatcher/test_requests.py
+++ b/tests/dispatcher/test_requests.py
@@ -52,8 +52,8 @@
     run_with_dispatcher(scenario)
 
 
-@pytest.mark.parametrize("patience, margin", [(6_000_000, 80_000), (400_000, 20_000)])
-def test_deadline_leaves_the_client_time_for_transit(patience: int, margin: int) -> None:
+@pytest.mark.parametrize("timeout, margin", [(6_000_000, 80_000), (400_000, 20_000)])
+def test_deadline_leaves_the_client_time_for_transit(timeout: int, margin: int) -> None:
     """A response that is written when the client's timeout expires arrives too late.
 
     The deadline must leave 80 ms for the transit, or a twentieth of the timeout if that is less.
@@ -61,9 +61,9 @@
 
     async def scenario(harness: DispatcherHarness) -> None:
         before = harness.dispatcher.clock.now()
-        harness.dispatcher.submit(submit_request("a", timeout=patience))
+        harness.dispatcher.submit(submit_request("a", timeout=timeout))
         after = harness.dispatcher.clock.now()
-        assert before <= harness.dispatcher.registry.open_requests["a"].deadline - patience + margin <= after
+        assert before <= harness.dispatcher.registry.open_requests["a"].deadline - timeout + margin <= after
 
     run_with_dispatcher(scenario)
 
--- a/tests/dispatcher/test_shutdown.py
+++ b/tests/dispatcher/test_shutdown.py
@@ -21,18 +21,18 @@
     monkeypatch.setattr("locktide.dispatcher.shutdown.ACCEPT_AFTER_STOP", 0.0)
 
     async def scenario(harness: DispatcherHarness) -> None:
-        node, stop = harness.dispatcher, asyncio.Event()
-        node.upstream.close_expired = lambda: None  # type: ignore[method-assign]
-        node.settings.connect_within = CONNECT_WITHIN
-        node.startup.listen_address = free_address()
-        node.endpoint_list.received.set()
-        running = asyncio.create_task(node.run(stop))
-        while not node.is_ready():
+        dispatcher, stop = harness.dispatcher, asyncio.Event()
+        dispatcher.upstream.close_expired = lambda: None  # type: ignore[method-assign]
+        dispatcher.settings.connect_within = CONNECT_WITHIN
+        dispatcher.startup.listen_address = free_address()
+        dispatcher.endpoint_list.received.set()
+        running = asyncio.create_task(dispatcher.run(stop))
+        while not dispatcher.is_ready():
             await asyncio.sleep(0.001)
-        node.submit(submit_request("a"))
+        dispatcher.submit(submit_request("a"))
         (await harness.sent_attempt("a")).respond(202)
         await harness.run_pending_tasks()
-        node.client_disconnected(node.registry.open_requests["a"].message)
+        dispatcher.client_disconnected(dispatcher.registry.open_requests["a"].message)
         await harness.run_pending_tasks()
         cancellation = harness.exchanges[-1].build()
         assert cancellation is not None and cancellation.method == "DELETE"
--- a/tests/durable/test_recovered_jobs.py
+++ b/tests/durable/test_recovered_jobs.py
@@ -24,7 +24,7 @@
 
 
 async def recover(
-    play: DispatcherHarness,
+    harness: DispatcherHarness,
     jobs: list[JobAccepted],
     durable_classes: Collection[str] = ("record",),
     disk: VirtualDisk | None = None,
@@ -35,13 +35,13 @@
     await asyncio.gather(*[earlier.append(job) for job in jobs])
     disk.crash()
     config = replace(JOB_CONFIG, service_classes=durable_classes)
-    service = JobService(play.dispatcher, open_log(disk), config, Log("d0"))
+    service = JobService(harness.dispatcher, open_log(disk), config, Log("d0"))
     await service.recover(CLOCKS)
     return service
 
 
-async def wait_until_resumed(play: DispatcherHarness, job_id: str) -> None:
-    await wait_until(lambda: job_id in play.dispatcher.registry.open_requests)
+async def wait_until_resumed(harness: DispatcherHarness, job_id: str) -> None:
+    await wait_until(lambda: job_id in harness.dispatcher.registry.open_requests)
 
 
 def test_no_request_gets_the_id_of_a_job_that_is_not_resumed_yet() -> None:
@@ -52,13 +52,13 @@
     a job is in use, whether or not the job is resumed.
     """
 
-    async def scenario(play: DispatcherHarness) -> None:
-        service = await recover(play, [accepted_job("a"), accepted_job("b")])
-        await wait_until_resumed(play, "a")
-        assert "b" not in play.dispatcher.registry.open_requests, "job b is resumed later"
+    async def scenario(harness: DispatcherHarness) -> None:
+        service = await recover(harness, [accepted_job("a"), accepted_job("b")])
+        await wait_until_resumed(harness, "a")
+        assert "b" not in harness.dispatcher.registry.open_requests, "job b is resumed later"
         assert service.submit(submit_request("b")) is None
-        await wait_until_resumed(play, "b")
-        assert play.dispatcher.registry.open_requests["b"].message.background
+        await wait_until_resumed(harness, "b")
+        assert harness.dispatcher.registry.open_requests["b"].message.background
         await service.close()
 
     run_with_dispatcher(scenario)
@@ -71,11 +71,11 @@
     reports of their workers counted as late, so that the jobs never ended.
     """
 
-    async def scenario(play: DispatcherHarness) -> None:
-        service = await recover(play, [accepted_job("a")], durable_classes=())
-        await wait_until_resumed(play, "a")
-        await wait_until(lambda: play.exchanges)
-        attempt = play.exchanges[0]
+    async def scenario(harness: DispatcherHarness) -> None:
+        service = await recover(harness, [accepted_job("a")], durable_classes=())
+        await wait_until_resumed(harness, "a")
+        await wait_until(lambda: harness.exchanges)
+        attempt = harness.exchanges[0]
         message = attempt.build()
         assert message is not None and (names.FENCE.encode(), b"1") in message.headers
         attempt.on_sent()
@@ -101,13 +101,13 @@
     """
     extras = [(names.EXTRAS.encode(), b"slots=1, tenant=dairy, hint=40")]
 
-    async def scenario(play: DispatcherHarness) -> None:
+    async def scenario(harness: DispatcherHarness) -> None:
         events: list[object] = []
-        play.dispatcher.bridge.observers.append(events.append)
+        harness.dispatcher.bridge.observers.append(events.append)
         recorded = accepted_job("a")
         recorded.forwarded_headers = extras
         recorded.target = "/record?obj=7"
-        service = await recover(play, [recorded])
+        service = await recover(harness, [recorded])
         message = replace(submit_request("b", "record"), forwarded_headers=extras, target="/record?obj=7")
         service.submit(message)
         await wait_until(lambda: len(arrivals_in(events)) == 2)
@@ -135,17 +135,17 @@
     """
 
     async def scenario() -> None:
-        play = DispatcherHarness()
+        harness = DispatcherHarness()
         disk = VirtualDisk(1, 0.001)
-        service = await recover(play, [accepted_job("a")], disk=disk)
+        service = await recover(harness, [accepted_job("a")], disk=disk)
         disk.room = 5
         await asyncio.sleep(10.0)
-        attempts = play.dispatcher.registry.open_requests["a"].attempts
+        attempts = harness.dispatcher.registry.open_requests["a"].attempts
         assert 2 <= len(attempts) <= 30, "two per second, and those before the disk was full"
-        assert not play.exchanges, "nothing is sent without a lease on the disk"
+        assert not harness.exchanges, "nothing is sent without a lease on the disk"
         disk.room = None
         await asyncio.sleep(2.0)
-        assert len(play.exchanges) == 1
+        assert len(harness.exchanges) == 1
         await service.close()
 
     run_in_virtual_time(scenario())
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -54,20 +54,20 @@
     """
 
     async def run() -> None:
-        play = DispatcherHarness()
+        harness = DispatcherHarness()
         others = [list_entry("w1"), list_entry("w3"), list_entry("w4"), list_entry("w2", state="leaving")]
         update = discovery.parse(list_body(*faulty, *others))
         assert update.faults[0].startswith(message)
         listed = [entry.worker for entry in update.entries]
         assert listed[-4:] == ["w1", "w3", "w4", "w2"] and listed == list(update.addresses)
         assert not set(listed) & set(update.unreadable)
-        play.dispatcher.endpoint_list.apply(update)
+        harness.dispatcher.endpoint_list.apply(update)
         accepting = [
-            number for number in range(5) if play.dispatcher.endpoints.accepts_requests(f"w{number}")
+            number for number in range(5) if harness.dispatcher.endpoints.accepts_requests(f"w{number}")
         ]
         assert accepting == [1, 3, 4]
-        play.dispatcher.endpoint_list.apply(discovery.parse(list_body(list_entry("w0"), version=4)))
-        assert play.dispatcher.endpoints.accepts_requests("w0")  # once its entry is readable
+        harness.dispatcher.endpoint_list.apply(discovery.parse(list_body(list_entry("w0"), version=4)))
+        assert harness.dispatcher.endpoints.accepts_requests("w0")  # once its entry is readable
 
     asyncio.run(run())
 
@@ -95,8 +95,8 @@
     assert [entry.worker for entry in update.entries] == ["w1"] and update.unreadable == ["new"]
 
     async def run() -> None:
-        play = DispatcherHarness()
-        play.dispatcher.endpoint_list.apply(update)
-        assert "new" not in play.dispatcher.endpoints.entries
+        harness = DispatcherHarness()
+        harness.dispatcher.endpoint_list.apply(update)
+        assert "new" not in harness.dispatcher.endpoints.entries
 
     asyncio.run(run())
