--- a/tests/scheduler/test_decisions.py
+++ b/tests/scheduler/test_decisions.py
@@ -41,34 +41,34 @@
 @pytest.mark.parametrize("seed", range(24))
 def test_random_events_keep_the_four_rules(seed: int) -> None:
     generator = random.Random(seed)
-    service = CheckedScheduler(seed, dispatcher_count=generator.randint(1, 5), is_polled=seed % 2 == 0)
+    checked = CheckedScheduler(seed, dispatcher_count=generator.randint(1, 5), is_polled=seed % 2 == 0)
     names = [f"w{n}" for n in range(generator.randint(1, 8))]
-    service.update_endpoints(
+    checked.update_endpoints(
         *[endpoint_entry(name, cell=index % 2) for index, name in enumerate(names)],
         kind=ListUpdateKind.CACHED,
     )
     for request_id in range(300):
         hint = generator.choice([20_000, 200_000, 900_000])
-        service.arrive(
+        checked.arrive(
             request_id, generator.choice(SERVICE_CLASSES).name, generator.choice([1.0, 1.0, 2.0, 4.0]), hint
         )
-        service.pass_time(ROUND_INTERVAL * generator.randint(0, 20))
-        for open_request_id, attempt in service.running_attempts():
+        checked.pass_time(ROUND_INTERVAL * generator.randint(0, 20))
+        for open_request_id, attempt in checked.running_attempts():
             draw = generator.random()
             if draw < 0.05:
-                service.step(AttemptStarted(open_request_id, attempt))
+                checked.step(AttemptStarted(open_request_id, attempt))
             elif draw < 0.10:
-                service.step(AttemptProgressed(open_request_id, attempt, generator.random()))
+                checked.step(AttemptProgressed(open_request_id, attempt, generator.random()))
             elif draw < 0.2:
-                service.end_attempt(open_request_id, attempt, generator.choice(OUTCOMES))
-            elif draw < 0.21 and open_request_id not in service.finished:
-                service.step(ClientDisconnected(open_request_id))
-        for command in [command for command in service.commands if type(command) is CancelAttempt]:
+                checked.end_attempt(open_request_id, attempt, generator.choice(OUTCOMES))
+            elif draw < 0.21 and open_request_id not in checked.finished:
+                checked.step(ClientDisconnected(open_request_id))
+        for command in [command for command in checked.commands if type(command) is CancelAttempt]:
             if (
                 command.request_id,
                 command.attempt,
-            ) in service.running_attempts() and generator.random() < 0.7:
-                service.end_attempt(command.request_id, command.attempt, AttemptOutcome.CANCELLED)
+            ) in checked.running_attempts() and generator.random() < 0.7:
+                checked.end_attempt(command.request_id, command.attempt, AttemptOutcome.CANCELLED)
         if generator.random() < 0.1:
             index = generator.randrange(len(names))
             state = generator.choice(
@@ -80,67 +80,67 @@
                     EndpointState.GONE,
                 ]
             )
-            started_at = generator.choice([0, service.now])
-            service.update_endpoints(
+            started_at = generator.choice([0, checked.now])
+            checked.update_endpoints(
                 endpoint_entry(names[index], state, started_at, index % 2), kind=ListUpdateKind.DELTA
             )
         if generator.random() < 0.03:
-            service.update_endpoints(kind=ListUpdateKind.FETCH_FAILED)
-    service.pass_time(7_000_000)
-    assert set(service.finished) == set(service.arrivals)
-    assert not service.scheduler.requests.open, "an ended request is still open"
+            checked.update_endpoints(kind=ListUpdateKind.FETCH_FAILED)
+    checked.pass_time(7_000_000)
+    assert set(checked.finished) == set(checked.arrivals)
+    assert not checked.scheduler.requests.open, "an ended request is still open"
 
 
 def test_the_same_events_give_the_same_commands() -> None:
     first, second = CheckedScheduler(seed=5), CheckedScheduler(seed=5)
-    for service in (first, second):
-        service.update_endpoints(*[endpoint_entry(f"w{n}") for n in range(5)])
+    for checked in (first, second):
+        checked.update_endpoints(*[endpoint_entry(f"w{n}") for n in range(5)])
         for request_id in range(40):
-            service.arrive(request_id, "close")
-            service.pass_time(ROUND_INTERVAL)
+            checked.arrive(request_id, "close")
+            checked.pass_time(ROUND_INTERVAL)
     assert first.commands == second.commands
 
 
 def test_the_oldest_waiting_request_is_sent_first() -> None:
-    service = CheckedScheduler()
-    service.arrive(1, "cash")
-    service.pass_time(ROUND_INTERVAL)
-    service.arrive(2, "cash")
-    commands = service.update_endpoints(endpoint_entry("w"))
+    checked = CheckedScheduler()
+    checked.arrive(1, "cash")
+    checked.pass_time(ROUND_INTERVAL)
+    checked.arrive(2, "cash")
+    commands = checked.update_endpoints(endpoint_entry("w"))
     assert [command.request_id for command in commands if type(command) is StartAttempt] == [1]
 
 
 def test_after_a_full_worker_a_request_may_be_sent_to_any_other() -> None:
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w0", cell=0))
-    service.arrive(1, "record")
-    service.update_endpoints(endpoint_entry("w1", cell=1))
-    service.end_attempt(1, 0, AttemptOutcome.FULL)
-    service.pass_time(200_000)
-    assert [attempt["worker"] for attempt in service.attempts[1]] == ["w0", "w1"]
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w0", cell=0))
+    checked.arrive(1, "record")
+    checked.update_endpoints(endpoint_entry("w1", cell=1))
+    checked.end_attempt(1, 0, AttemptOutcome.FULL)
+    checked.pass_time(200_000)
+    assert [attempt["worker"] for attempt in checked.attempts[1]] == ["w0", "w1"]
 
 
 def test_without_a_known_worker_a_request_is_rejected_in_time() -> None:
-    service = CheckedScheduler()
-    service.arrive(1, "cash")
-    service.pass_time(6_000_000)
-    assert service.finished[1] == "rejected"
+    checked = CheckedScheduler()
+    checked.arrive(1, "cash")
+    checked.pass_time(6_000_000)
+    assert checked.finished[1] == "rejected"
 
 
 def test_an_error_fails_an_at_most_once_request_at_once() -> None:
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w"))
-    service.arrive(1, "cash")
-    commands = service.end_attempt(1, 0, AttemptOutcome.ERROR)
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w"))
+    checked.arrive(1, "cash")
+    commands = checked.end_attempt(1, 0, AttemptOutcome.ERROR)
     assert [type(command) for command in commands if type(command) is not WriteLog] == [FailRequest]
 
 
 def test_the_endpoint_list_is_polled_and_polled_again_after_a_failure() -> None:
-    service = CheckedScheduler(is_polled=True)
-    service.update_endpoints(kind=ListUpdateKind.CACHED)
-    assert WatchEndpoints(True) in service.pass_time(5_000_000)
-    assert WatchEndpoints(True) not in service.update_endpoints(kind=ListUpdateKind.FETCH_FAILED)
-    assert WatchEndpoints(True) in service.pass_time(11_000_000)
+    checked = CheckedScheduler(is_polled=True)
+    checked.update_endpoints(kind=ListUpdateKind.CACHED)
+    assert WatchEndpoints(True) in checked.pass_time(5_000_000)
+    assert WatchEndpoints(True) not in checked.update_endpoints(kind=ListUpdateKind.FETCH_FAILED)
+    assert WatchEndpoints(True) in checked.pass_time(11_000_000)
 
 
 # --- regression tests -----------------------------------------------------------------------------------
@@ -153,12 +153,12 @@
     their deadlines and their clients got no response. Every request must have its response by its deadline,
     even while no round places a request.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w"))
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w"))
     for request_id in range(20):
-        service.arrive(request_id, "cash")
-    service.pass_time(5_100_000)
-    assert len(service.finished) == 20
+        checked.arrive(request_id, "cash")
+    checked.pass_time(5_100_000)
+    assert len(checked.finished) == 20
 
 
 def test_a_round_without_capacity_draws_nothing() -> None:
@@ -167,13 +167,13 @@
     Each round drew an endpoint for each request, although none had capacity, and the dispatcher was late with
     all other work. A round must not draw while no endpoint has capacity.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w"))
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w"))
     for request_id in range(20):
-        service.arrive(request_id, "record")
-    before = service.scheduler.random.state
-    service.pass_time(ROUND_INTERVAL * 3)
-    assert service.scheduler.random.state == before
+        checked.arrive(request_id, "record")
+    before = checked.scheduler.random.state
+    checked.pass_time(ROUND_INTERVAL * 3)
+    assert checked.scheduler.random.state == before
 
 
 def test_a_cancelled_request_is_kept_while_an_attempt_may_still_help() -> None:
@@ -183,16 +183,16 @@
     its client was still waiting. A request that may have run must wait as long as another attempt can help,
     as a late response is better than none.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
-    service.arrive(1, "view")
-    assert CancelAttempt(1, 0) in service.pass_time(200_000)
-    service.update_endpoints(
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
+    checked.arrive(1, "view")
+    assert CancelAttempt(1, 0) in checked.pass_time(200_000)
+    checked.update_endpoints(
         endpoint_entry("w0", EndpointState.DRAINING), endpoint_entry("w1", EndpointState.DRAINING)
     )
-    service.end_attempt(1, 0, AttemptOutcome.CANCELLED)
-    service.pass_time(500_000)
-    assert 1 not in service.finished
+    checked.end_attempt(1, 0, AttemptOutcome.CANCELLED)
+    checked.pass_time(500_000)
+    assert 1 not in checked.finished
 
 
 def test_a_request_bound_to_a_cell_keeps_its_place_in_a_queue() -> None:
@@ -201,10 +201,10 @@
     Each request gave up its place in the queue of one worker for a later place in that of another, and ended
     later than without the retry. Such an attempt must not be cancelled until it is presumed lost.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
-    service.arrive(1, "record")
-    assert not [command for command in service.pass_time(2_000_000) if type(command) is CancelAttempt]
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
+    checked.arrive(1, "record")
+    assert not [command for command in checked.pass_time(2_000_000) if type(command) is CancelAttempt]
 
 
 def test_an_unreachable_worker_is_soon_sent_probes_only() -> None:
@@ -214,18 +214,18 @@
     and were lost. A worker that refuses connections must be suspected after its first failures and then be
     sent only a few probes.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(*[endpoint_entry(f"w{n}") for n in range(4)])
+    checked = CheckedScheduler()
+    checked.update_endpoints(*[endpoint_entry(f"w{n}") for n in range(4)])
     for request_id in range(200):
-        service.arrive(request_id, "view")
-        service.pass_time(25_000)
-        for open_request_id, attempt in service.running_attempts():
-            is_refusing = service.attempts[open_request_id][attempt]["worker"] == "w0"
-            service.end_attempt(
+        checked.arrive(request_id, "view")
+        checked.pass_time(25_000)
+        for open_request_id, attempt in checked.running_attempts():
+            is_refusing = checked.attempts[open_request_id][attempt]["worker"] == "w0"
+            checked.end_attempt(
                 open_request_id, attempt, AttemptOutcome.NO_CONNECTION if is_refusing else AttemptOutcome.DONE
             )
     attempt_count = [
-        attempt["worker"] for attempts in service.attempts.values() for attempt in attempts
+        attempt["worker"] for attempts in checked.attempts.values() for attempt in attempts
     ].count("w0")
     assert 1 <= attempt_count <= 12
 
@@ -236,14 +236,14 @@
     With no worker left, every request was rejected, although the workers were healthy. While most endpoints
     are suspected, the suspicions carry no information, and requests must be sent anyway.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(*[endpoint_entry(f"w{n}") for n in range(4)])
-    for worker in service.scheduler.endpoints.by_id.values():
+    checked = CheckedScheduler()
+    checked.update_endpoints(*[endpoint_entry(f"w{n}") for n in range(4)])
+    for worker in checked.scheduler.endpoints.by_id.values():
         for _ in range(5):
-            service.scheduler.outliers.record_failure(worker, SuspicionReason.RESET)
-    service.arrive(1, "view")
-    service.pass_time(ROUND_INTERVAL * 2)
-    assert service.attempts[1]
+            checked.scheduler.outliers.record_failure(worker, SuspicionReason.RESET)
+    checked.arrive(1, "view")
+    checked.pass_time(ROUND_INTERVAL * 2)
+    assert checked.attempts[1]
 
 
 def test_a_class_with_long_slack_waits_no_longer_than_one_with_short_slack() -> None:
@@ -253,15 +253,15 @@
     worst-served class decides the objective, all classes must wait equally long; if its weight is low, a
     class with a long slack may wait longer.
     """
-    service = CheckedScheduler()
-    service.arrive(1, "view")
-    service.arrive(2, "record")
-    first, second = (service.scheduler.requests.open[n] for n in (1, 2))
+    checked = CheckedScheduler()
+    checked.arrive(1, "view")
+    checked.arrive(2, "record")
+    first, second = (checked.scheduler.requests.open[n] for n in (1, 2))
     assert first.queue_deadline == second.queue_deadline
-    service = CheckedScheduler(worst_class_weight=0.1)
-    service.arrive(1, "view")
-    service.arrive(2, "record")
-    first, second = (service.scheduler.requests.open[n] for n in (1, 2))
+    checked = CheckedScheduler(worst_class_weight=0.1)
+    checked.arrive(1, "view")
+    checked.arrive(2, "record")
+    first, second = (checked.scheduler.requests.open[n] for n in (1, 2))
     assert first.queue_deadline < second.queue_deadline
 
 
@@ -272,15 +272,15 @@
     of a worker is less than one slot, the dispatcher must pause after each attempt, so that it uses its share
     on average.
     """
-    service = CheckedScheduler(dispatcher_count=17)
-    service.update_endpoints(endpoint_entry("w"))
-    service.arrive(0, "cash")
-    service.pass_time(1_000_000)
-    service.step(AttemptStarted(0, 0))
-    service.end_attempt(0, 0, AttemptOutcome.DONE)
-    service.arrive(1, "cash")
-    service.pass_time(ROUND_INTERVAL * 2)
-    assert not service.attempts[1]
+    checked = CheckedScheduler(dispatcher_count=17)
+    checked.update_endpoints(endpoint_entry("w"))
+    checked.arrive(0, "cash")
+    checked.pass_time(1_000_000)
+    checked.step(AttemptStarted(0, 0))
+    checked.end_attempt(0, 0, AttemptOutcome.DONE)
+    checked.arrive(1, "cash")
+    checked.pass_time(ROUND_INTERVAL * 2)
+    assert not checked.attempts[1]
 
 
 def test_a_request_with_a_heavy_work_hint_is_not_rejected_at_once() -> None:
@@ -290,10 +290,10 @@
     worker could have completed it in time. A request must be sent while half of its hinted run time still
     fits.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w"))
-    service.arrive(1, "record", work_hint=6_500_000)
-    assert service.attempts[1]
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w"))
+    checked.arrive(1, "record", work_hint=6_500_000)
+    assert checked.attempts[1]
 
 
 def test_a_class_without_stretch_is_not_rejected_while_no_run_is_known() -> None:
@@ -303,12 +303,12 @@
     request was rejected on arrival, so that no run ever became known. Such a class must keep a part of its
     objective as slack.
     """
-    service = CheckedScheduler()
+    checked = CheckedScheduler()
     classes = [replace(grade, stretch=0.0) if grade.name == "cash" else grade for grade in SERVICE_CLASSES]
-    service.step(ConfigReloaded(replace(scheduler_config(3, 3, False, 0.4), service_classes=classes)))
-    service.update_endpoints(endpoint_entry("w"))
-    service.arrive(1, "cash")
-    assert service.attempts[1]
+    checked.step(ConfigReloaded(replace(scheduler_config(3, 3, False, 0.4), service_classes=classes)))
+    checked.update_endpoints(endpoint_entry("w"))
+    checked.arrive(1, "cash")
+    assert checked.attempts[1]
 
 
 def test_requests_beyond_the_quota_are_rejected_first() -> None:
@@ -317,10 +317,10 @@
     Meanwhile requests within their quotas were rejected, as both waited equally long. A request beyond its
     quota must have the earlier queue deadline.
     """
-    service = CheckedScheduler()
+    checked = CheckedScheduler()
     for request_id in range(40):
-        service.step(RequestArrived(request_id, "view", service.now + 3_000_000, tenant="dairy"))
-    open_requests = service.scheduler.requests.open
+        checked.step(RequestArrived(request_id, "view", checked.now + 3_000_000, tenant="dairy"))
+    open_requests = checked.scheduler.requests.open
     assert open_requests[0].queue_deadline > open_requests[39].queue_deadline
 
 
@@ -333,11 +333,11 @@
     """
     sent = 0
     for seed in range(76):
-        service = CheckedScheduler(seed, dispatcher_count=76)
-        service.update_endpoints(endpoint_entry("w", started_at=service.now))
+        checked = CheckedScheduler(seed, dispatcher_count=76)
+        checked.update_endpoints(endpoint_entry("w", started_at=checked.now))
         for request_id in range(4):
-            service.arrive(request_id, "close", work_hint=300_000)
-        sent += len(service.running_attempts())
+            checked.arrive(request_id, "close", work_hint=300_000)
+        sent += len(checked.running_attempts())
     # At two slots and a capacity of 0.3, eight such requests within a second overload the worker.
     assert 1 <= sent <= 8
 
@@ -348,11 +348,11 @@
     Slow worker types were sent as much as fast ones, and their requests were late. The speeds that decide
     whether draws are accepted must follow the run times of each worker type.
     """
-    service = CheckedScheduler(dispatcher_count=76)
-    throughput = service.scheduler.estimates.throughput
+    checked = CheckedScheduler(dispatcher_count=76)
+    throughput = checked.scheduler.estimates.throughput
     for _ in range(20):
-        throughput.add("box", 0.5, service.now)
-        throughput.add("crate", 1.5, service.now)
+        throughput.add("box", 0.5, checked.now)
+        throughput.add("crate", 1.5, checked.now)
     speeds = throughput.relative_speeds
     assert speeds["box"] == 1.0 and 0.1 < speeds["crate"] ** 2 < 0.25
 
@@ -363,18 +363,18 @@
     It stayed suspected until its failures had decayed, for about ten seconds, and its capacity was not used.
     Each success must halve the recorded failures, so that two successes clear one failure.
     """
-    service = CheckedScheduler(dispatcher_count=1)
-    service.update_endpoints(endpoint_entry("w"))
-    worker = service.scheduler.endpoints.by_id["w"]
-    service.arrive(0, "view")
-    service.end_attempt(0, 0, AttemptOutcome.RESET)
-    records = [worker.failures.read(service.now)]
-    suspected = [is_suspected(worker, service.now)]
+    checked = CheckedScheduler(dispatcher_count=1)
+    checked.update_endpoints(endpoint_entry("w"))
+    worker = checked.scheduler.endpoints.by_id["w"]
+    checked.arrive(0, "view")
+    checked.end_attempt(0, 0, AttemptOutcome.RESET)
+    records = [worker.failures.read(checked.now)]
+    suspected = [is_suspected(worker, checked.now)]
     for request_id in (1, 2):  # at the same time: nothing decays
-        service.arrive(request_id, "view")
-        service.end_attempt(request_id, 0, AttemptOutcome.DONE)
-        records.append(worker.failures.read(service.now))
-        suspected.append(is_suspected(worker, service.now))
+        checked.arrive(request_id, "view")
+        checked.end_attempt(request_id, 0, AttemptOutcome.DONE)
+        records.append(worker.failures.read(checked.now))
+        suspected.append(is_suspected(worker, checked.now))
     assert records == [1.0, 0.5, 0.25] and suspected == [True, True, False]
 
 
@@ -384,13 +384,13 @@
     No failure was recorded, so they were sent more requests, which were late. A worker must be suspected once
     its report is overdue, and stay suspected when a late report shows very little progress.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w"))
-    service.arrive(1, "record")
-    service.step(AttemptStarted(1, 0))
-    service.pass_time(2_000_000)
-    service.step(AttemptProgressed(1, 0, 0.05))
-    assert is_suspected(service.scheduler.endpoints.by_id["w"], service.now)
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w"))
+    checked.arrive(1, "record")
+    checked.step(AttemptStarted(1, 0))
+    checked.pass_time(2_000_000)
+    checked.step(AttemptProgressed(1, 0, 0.05))
+    assert is_suspected(checked.scheduler.endpoints.by_id["w"], checked.now)
 
 
 def test_a_request_bound_to_a_cell_is_cancelled_once_it_is_presumed_lost() -> None:
@@ -399,10 +399,10 @@
     Requests that may be repeated only in its cell stayed in this queue until their clients gave up. If such
     an attempt has not started after half of its timeout, it must be cancelled for a retry.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
-    service.arrive(1, "record")
-    assert CancelAttempt(1, 0) in service.pass_time(3_200_000)
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
+    checked.arrive(1, "record")
+    assert CancelAttempt(1, 0) in checked.pass_time(3_200_000)
 
 
 @pytest.mark.parametrize("is_sending_reported", [True, False])
@@ -413,17 +413,17 @@
     limits of all workers stayed at their minimum. The time until the start must be measured from when the
     last byte was sent, if that is reported.
     """
-    service = CheckedScheduler(dispatcher_count=1)
-    service.update_endpoints(endpoint_entry("w"))
-    worker = service.scheduler.endpoints.by_id["w"]
+    checked = CheckedScheduler(dispatcher_count=1)
+    checked.update_endpoints(endpoint_entry("w"))
+    worker = checked.scheduler.endpoints.by_id["w"]
     before = worker.concurrency_limit = 2.0
     for request_id in (1, 2):
-        service.arrive(request_id, "close")
-    service.pass_time(100_000)  # longer than a prompt start: the connection is being opened
+        checked.arrive(request_id, "close")
+    checked.pass_time(100_000)  # longer than a prompt start: the connection is being opened
     if is_sending_reported:
-        service.step(AttemptSent(1, 0), AttemptSent(2, 0))
-    service.pass_time(20_000)
-    service.step(AttemptStarted(1, 0), AttemptStarted(2, 0))
+        checked.step(AttemptSent(1, 0), AttemptSent(2, 0))
+    checked.pass_time(20_000)
+    checked.step(AttemptStarted(1, 0), AttemptStarted(2, 0))
     assert (worker.concurrency_limit > before) == is_sending_reported
 
 
@@ -445,14 +445,14 @@
     workers became suspected. Outcomes that say nothing about a worker must change neither its limit nor its
     health. A full worker's limit must fall.
     """
-    service = CheckedScheduler(dispatcher_count=1)
-    service.update_endpoints(endpoint_entry("w"))
-    worker = service.scheduler.endpoints.by_id["w"]
+    checked = CheckedScheduler(dispatcher_count=1)
+    checked.update_endpoints(endpoint_entry("w"))
+    worker = checked.scheduler.endpoints.by_id["w"]
     worker.concurrency_limit = 3.0
-    service.arrive(1, "close")
-    service.end_attempt(1, 0, outcome)
+    checked.arrive(1, "close")
+    checked.end_attempt(1, 0, outcome)
     assert (worker.concurrency_limit < 3.0) == (outcome == AttemptOutcome.FULL)
-    assert not is_suspected(worker, service.now)
+    assert not is_suspected(worker, checked.now)
 
 
 def test_slow_progress_suspects_nobody_while_few_runs_are_known() -> None:
@@ -461,13 +461,13 @@
     The initial estimate of a run time is the latency objective, and healthy workers with run times of several
     times this estimate seemed slow. While few runs of a class are known, no progress may count as slow.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w"))
-    service.arrive(1, "view")
-    service.step(AttemptStarted(1, 0))
-    service.pass_time(1_000_000)
-    service.step(AttemptProgressed(1, 0, 0.4))  # projects a run of 2.5 s, ten times the estimate
-    assert not is_suspected(service.scheduler.endpoints.by_id["w"], service.now)
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w"))
+    checked.arrive(1, "view")
+    checked.step(AttemptStarted(1, 0))
+    checked.pass_time(1_000_000)
+    checked.step(AttemptProgressed(1, 0, 0.4))  # projects a run of 2.5 s, ten times the estimate
+    assert not is_suspected(checked.scheduler.endpoints.by_id["w"], checked.now)
 
 
 @pytest.mark.parametrize(
@@ -493,19 +493,19 @@
     So it never had anything in flight and always had capacity, and was sent each request of this class three
     times. After "full" a worker must count as without capacity for a usual run time.
     """
-    service = CheckedScheduler(dispatcher_count=1)
-    service.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
-    workers = service.scheduler.endpoints.by_id
-    service.arrive(1, "view")
-    first = workers[service.attempts[1][0]["worker"]]
-    service.end_attempt(1, 0, AttemptOutcome.FULL)
-    assert not has_capacity(first, 1.0, service.now, 62_000) and has_capacity(
-        first, 1.0, service.now + 300_000, 62_000
+    checked = CheckedScheduler(dispatcher_count=1)
+    checked.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
+    workers = checked.scheduler.endpoints.by_id
+    checked.arrive(1, "view")
+    first = workers[checked.attempts[1][0]["worker"]]
+    checked.end_attempt(1, 0, AttemptOutcome.FULL)
+    assert not has_capacity(first, 1.0, checked.now, 62_000) and has_capacity(
+        first, 1.0, checked.now + 300_000, 62_000
     )
     first.unavailable_until = 0
-    service.pass_time(50_000)
-    assert {sent_attempt["worker"] for sent_attempt in service.attempts[1]} == {"w0", "w1"}
-    assert len(service.attempts[1]) == 2
+    checked.pass_time(50_000)
+    assert {sent_attempt["worker"] for sent_attempt in checked.attempts[1]} == {"w0", "w1"}
+    assert len(checked.attempts[1]) == 2
 
 
 def test_a_request_that_returns_to_the_pool_late_gets_its_queue_timeout_anew() -> None:
@@ -515,16 +515,16 @@
     returned to the pool, although other workers had capacity. A request that returns to the pool must get its
     full queue timeout again.
     """
-    service = CheckedScheduler(dispatcher_count=1)
-    service.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
-    service.arrive(1, "cash")
-    for worker in service.scheduler.endpoints.by_id.values():
-        worker.paused_until = service.now + 950_000  # makes the request wait in the pool
-    service.pass_time(900_000)
-    service.end_attempt(1, 0, AttemptOutcome.NO_CONNECTION)
-    assert 1 not in service.finished
-    service.pass_time(100_000)
-    assert {attempt["worker"] for attempt in service.attempts[1]} == {"w0", "w1"}
+    checked = CheckedScheduler(dispatcher_count=1)
+    checked.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
+    checked.arrive(1, "cash")
+    for worker in checked.scheduler.endpoints.by_id.values():
+        worker.paused_until = checked.now + 950_000  # makes the request wait in the pool
+    checked.pass_time(900_000)
+    checked.end_attempt(1, 0, AttemptOutcome.NO_CONNECTION)
+    assert 1 not in checked.finished
+    checked.pass_time(100_000)
+    assert {attempt["worker"] for attempt in checked.attempts[1]} == {"w0", "w1"}
 
 
 def test_a_background_request_outlives_full_workers() -> None:
@@ -533,22 +533,22 @@
     No client waited for them, and capacity became free soon after. Attempts that did not run must not count
     for a background request. It must be sent again, to each worker once per usual run time.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(*[endpoint_entry(f"w{number}") for number in range(3)])
-    service.step(RequestArrived(1, "record", service.now + 60_000_000, background=True))
+    checked = CheckedScheduler()
+    checked.update_endpoints(*[endpoint_entry(f"w{number}") for number in range(3)])
+    checked.step(RequestArrived(1, "record", checked.now + 60_000_000, background=True))
     full_count = 0
     for _ in range(5_000_000 // ROUND_INTERVAL):
-        for request_id, attempt in service.running_attempts():
+        for request_id, attempt in checked.running_attempts():
             full_count += 1
-            service.end_attempt(request_id, attempt, AttemptOutcome.FULL)
-        service.pass_time(ROUND_INTERVAL)
+            checked.end_attempt(request_id, attempt, AttemptOutcome.FULL)
+        checked.pass_time(ROUND_INTERVAL)
     assert (
-        not service.finished and service.max_attempts < full_count <= 3 * 8
+        not checked.finished and checked.max_attempts < full_count <= 3 * 8
     ), "once per usual run time at each of three workers"
-    while not service.running_attempts():
-        service.pass_time(ROUND_INTERVAL)
-    service.end_attempt(1, service.running_attempts()[0][1], AttemptOutcome.DONE)
-    assert service.finished[1] == "done"
+    while not checked.running_attempts():
+        checked.pass_time(ROUND_INTERVAL)
+    checked.end_attempt(1, checked.running_attempts()[0][1], AttemptOutcome.DONE)
+    assert checked.finished[1] == "done"
 
 
 @pytest.mark.parametrize("time_before_end, attempt_count", [(1, 2), (0, 1), (-1_000_000, 1)])
@@ -561,17 +561,17 @@
     key. After that a repeat would run the job twice. The job may be sent until the end of the window, and not
     from then on.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w0"))
-    service.step(RequestArrived(1, "record", service.now + 60_000_000, background=True))
-    window_ends_at = service.attempts[1][0]["at"] + service.service_classes["record"].deduplication_window
-    service.end_attempt(1, 0, AttemptOutcome.RESET)
-    service.pass_time(1_000_000)
-    assert len(service.attempts[1]) == 1, "a repeat needs another worker of its cell, and there is none"
-    service.now = window_ends_at - time_before_end
-    service.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
-    service.pass_time(1_000_000)
-    assert [attempt["worker"] for attempt in service.attempts[1]] == ["w0", "w1"][:attempt_count]
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w0"))
+    checked.step(RequestArrived(1, "record", checked.now + 60_000_000, background=True))
+    window_ends_at = checked.attempts[1][0]["at"] + checked.service_classes["record"].deduplication_window
+    checked.end_attempt(1, 0, AttemptOutcome.RESET)
+    checked.pass_time(1_000_000)
+    assert len(checked.attempts[1]) == 1, "a repeat needs another worker of its cell, and there is none"
+    checked.now = window_ends_at - time_before_end
+    checked.update_endpoints(endpoint_entry("w0"), endpoint_entry("w1"))
+    checked.pass_time(1_000_000)
+    assert [attempt["worker"] for attempt in checked.attempts[1]] == ["w0", "w1"][:attempt_count]
 
 
 def test_a_refused_connection_does_not_shorten_the_pause_after_full() -> None:
@@ -580,16 +580,16 @@
     A refused connection right after that replaced this pause by a shorter one, and the worker was sent
     requests that it could not take. The longer pause must remain.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(endpoint_entry("w"))
-    worker = service.scheduler.endpoints.by_id["w"]
+    checked = CheckedScheduler()
+    checked.update_endpoints(endpoint_entry("w"))
+    worker = checked.scheduler.endpoints.by_id["w"]
     worker.concurrency_limit = 2.0
-    service.arrive(1, "record")
-    service.arrive(2, "record")
-    service.end_attempt(1, 0, AttemptOutcome.FULL)
+    checked.arrive(1, "record")
+    checked.arrive(2, "record")
+    checked.end_attempt(1, 0, AttemptOutcome.FULL)
     paused_until = worker.unavailable_until
-    assert paused_until > service.now + 250_000
-    service.end_attempt(2, 0, AttemptOutcome.NO_CONNECTION)
+    assert paused_until > checked.now + 250_000
+    checked.end_attempt(2, 0, AttemptOutcome.NO_CONNECTION)
     assert worker.unavailable_until == paused_until
 
 
@@ -605,28 +605,28 @@
     change.
     """
     tenant, key = FLOODS[flood]
-    service = CheckedScheduler(dispatcher_count=3)
-    service.update_endpoints(*[endpoint_entry(f"w{number}") for number in range(8)])
+    checked = CheckedScheduler(dispatcher_count=3)
+    checked.update_endpoints(*[endpoint_entry(f"w{number}") for number in range(8)])
     done_count = 0
     for number in range(60):
         is_faulty, request_id = number % 2 == 0, number
-        deadline, affinity_key = service.now + 3_000_000, key if is_faulty else 9
-        service.step(RequestArrived(request_id, "view", deadline, tenant=tenant, affinity_key=affinity_key))
+        deadline, affinity_key = checked.now + 3_000_000, key if is_faulty else 9
+        checked.step(RequestArrived(request_id, "view", deadline, tenant=tenant, affinity_key=affinity_key))
         for _ in range(4):
-            service.pass_time(ROUND_INTERVAL)
-            for open_request_id, attempt in service.running_attempts():
+            checked.pass_time(ROUND_INTERVAL)
+            for open_request_id, attempt in checked.running_attempts():
                 if open_request_id == request_id:
-                    service.end_attempt(
+                    checked.end_attempt(
                         open_request_id, attempt, AttemptOutcome.ERROR if is_faulty else AttemptOutcome.DONE
                     )
         if is_faulty:
-            assert len(service.attempts[request_id]) == 2 and service.finished[request_id] == "rejected"
+            assert len(checked.attempts[request_id]) == 2 and checked.finished[request_id] == "rejected"
         else:
-            done_count += service.finished.get(request_id) == "done"  # a valid request is served
+            done_count += checked.finished.get(request_id) == "done"  # a valid request is served
     assert done_count == 30
-    workers = service.scheduler.endpoints.by_id.values()
-    assert not any(is_suspected(worker, service.now) for worker in workers)
-    assert max(worker.failures.read(service.now) for worker in workers) < 0.01
+    workers = checked.scheduler.endpoints.by_id.values()
+    assert not any(is_suspected(worker, checked.now) for worker in workers)
+    assert max(worker.failures.read(checked.now) for worker in workers) < 0.01
 
 
 def test_a_faulty_worker_is_found_amid_requests_that_fail_anywhere() -> None:
@@ -635,20 +635,20 @@
     If no error were attributed to a worker during such a flood, this worker would continue to fail requests.
     It must become suspected, and no other worker.
     """
-    service = CheckedScheduler(dispatcher_count=3)
-    service.update_endpoints(*[endpoint_entry(f"w{number}") for number in range(6)])
+    checked = CheckedScheduler(dispatcher_count=3)
+    checked.update_endpoints(*[endpoint_entry(f"w{number}") for number in range(6)])
     for request_id in range(60):
-        service.step(RequestArrived(request_id, "view", service.now + 3_000_000, tenant="spam"))
+        checked.step(RequestArrived(request_id, "view", checked.now + 3_000_000, tenant="spam"))
         for _ in range(4):
-            service.pass_time(ROUND_INTERVAL)
-            for one, attempt in service.running_attempts():
+            checked.pass_time(ROUND_INTERVAL)
+            for one, attempt in checked.running_attempts():
                 if one == request_id:
-                    is_error = one % 2 == 0 or service.attempts[one][attempt]["worker"] == "w0"
-                    service.end_attempt(
+                    is_error = one % 2 == 0 or checked.attempts[one][attempt]["worker"] == "w0"
+                    checked.end_attempt(
                         one, attempt, AttemptOutcome.ERROR if is_error else AttemptOutcome.DONE
                     )
     suspected = [
-        name for name, one in service.scheduler.endpoints.by_id.items() if is_suspected(one, service.now)
+        name for name, one in checked.scheduler.endpoints.by_id.items() if is_suspected(one, checked.now)
     ]
     assert suspected == ["w0"]
 
@@ -657,15 +657,15 @@
     names = [f"w{number}" for number in range(20)]
 
     def drawn_workers(seed: int, key: int, listed_names: list[str], count: int = 1) -> list[str]:
-        service = CheckedScheduler(seed, dispatcher_count=3)
+        checked = CheckedScheduler(seed, dispatcher_count=3)
         for request_id in range(1_000, 1_040):  # requests with other keys, for which there is no worker yet
-            service.step(RequestArrived(request_id, "view", service.now + 3_000_000, affinity_key=request_id))
-        service.pass_time(1_000_000)
-        service.update_endpoints(*[endpoint_entry(name) for name in listed_names])
+            checked.step(RequestArrived(request_id, "view", checked.now + 3_000_000, affinity_key=request_id))
+        checked.pass_time(1_000_000)
+        checked.update_endpoints(*[endpoint_entry(name) for name in listed_names])
         for request_id in range(count):
-            service.step(RequestArrived(request_id, "view", service.now + 3_000_000, affinity_key=key))
-        service.pass_time(400_000)
-        attempts_by_request = [service.attempts[request_id] for request_id in range(count)]
+            checked.step(RequestArrived(request_id, "view", checked.now + 3_000_000, affinity_key=key))
+        checked.pass_time(400_000)
+        attempts_by_request = [checked.attempts[request_id] for request_id in range(count)]
         return [attempts[0]["worker"] for attempts in attempts_by_request if attempts]
 
     workers_by_key = {key: {drawn_workers(seed, key, names)[0] for seed in range(12)} for key in range(30)}
--- a/tests/scheduler/test_ratings_and_reload.py
+++ b/tests/scheduler/test_ratings_and_reload.py
@@ -51,15 +51,15 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_random_events_with_reloads_keep_the_rules(seed: int) -> None:
     generator = random.Random(seed)
-    service = CheckedScheduler(seed)
+    checked = CheckedScheduler(seed)
     names = [f"w{n}" for n in range(6)]
-    service.update_endpoints(*[endpoint_entry(name, cell=n % 2) for n, name in enumerate(names)])
+    checked.update_endpoints(*[endpoint_entry(name, cell=n % 2) for n, name in enumerate(names)])
     for request_id in range(200):
         if request_id % 25 == 24:
-            service.step(ConfigReloaded(LIVE_CONFIG if request_id % 50 == 24 else INITIAL_CONFIG))
-        service.arrive(request_id, generator.choice(SERVICE_CLASSES).name, generator.choice([1.0, 2.0, 4.0]))
-        service.pass_time(ROUND_INTERVAL * generator.randint(0, 10))
-        for open_request_id, attempt in service.running_attempts():
+            checked.step(ConfigReloaded(LIVE_CONFIG if request_id % 50 == 24 else INITIAL_CONFIG))
+        checked.arrive(request_id, generator.choice(SERVICE_CLASSES).name, generator.choice([1.0, 2.0, 4.0]))
+        checked.pass_time(ROUND_INTERVAL * generator.randint(0, 10))
+        for open_request_id, attempt in checked.running_attempts():
             if generator.random() < 0.2:
                 outcomes = [
                     AttemptOutcome.DONE,
@@ -68,21 +68,21 @@
                     AttemptOutcome.ERROR,
                     AttemptOutcome.RESET,
                 ]
-                service.end_attempt(open_request_id, attempt, generator.choice(outcomes))
-        for command in [command for command in service.commands if type(command) is CancelAttempt]:
+                checked.end_attempt(open_request_id, attempt, generator.choice(outcomes))
+        for command in [command for command in checked.commands if type(command) is CancelAttempt]:
             if (
                 command.request_id,
                 command.attempt,
-            ) in service.running_attempts() and generator.random() < 0.7:
-                service.end_attempt(command.request_id, command.attempt, AttemptOutcome.CANCELLED)
+            ) in checked.running_attempts() and generator.random() < 0.7:
+                checked.end_attempt(command.request_id, command.attempt, AttemptOutcome.CANCELLED)
         if generator.random() < 0.2:
             index = generator.randrange(6)
             rating = generator.random() * 9
-            service.update_endpoints(
+            checked.update_endpoints(
                 endpoint_entry(names[index], cell=index % 2, rating=rating), kind=ListUpdateKind.DELTA
             )
-    service.pass_time(7_000_000)
-    assert set(service.finished) == set(service.arrivals)
+    checked.pass_time(7_000_000)
+    assert set(checked.finished) == set(checked.arrivals)
 
 
 def test_a_reload_back_leaves_no_state_of_the_other_configuration() -> None:
@@ -92,15 +92,15 @@
     and the list was polled although updates are pushed. After the switch back no load may remain, and the
     list must not be polled.
     """
-    service = CheckedScheduler()
-    service.update_endpoints(*rated({"w0": 8.0, "w1": 8.0}))
-    service.step(ConfigReloaded(LIVE_CONFIG))
-    service.update_endpoints(*rated({"w0": 2.0, "w1": 8.0}), kind=ListUpdateKind.DELTA)
+    checked = CheckedScheduler()
+    checked.update_endpoints(*rated({"w0": 8.0, "w1": 8.0}))
+    checked.step(ConfigReloaded(LIVE_CONFIG))
+    checked.update_endpoints(*rated({"w0": 2.0, "w1": 8.0}), kind=ListUpdateKind.DELTA)
     assert (
-        service.scheduler.endpoints.by_id["w0"].load == 3.0 and service.scheduler.estimates.mean_load == 1.5
+        checked.scheduler.endpoints.by_id["w0"].load == 3.0 and checked.scheduler.estimates.mean_load == 1.5
     )
-    commands = service.step(ConfigReloaded(INITIAL_CONFIG))
-    assert service.scheduler.endpoints.by_id["w0"].load == service.scheduler.estimates.mean_load == 0.0
+    commands = checked.step(ConfigReloaded(INITIAL_CONFIG))
+    assert checked.scheduler.endpoints.by_id["w0"].load == checked.scheduler.estimates.mean_load == 0.0
     assert not [command for command in commands if type(command) is WatchEndpoints]
 
 
@@ -110,15 +110,15 @@
     Without their class these requests could neither be placed nor answered. They must be processed with the
     class with which they arrived.
     """
-    service = CheckedScheduler()
-    service.arrive(1, "cash")
+    checked = CheckedScheduler()
+    checked.arrive(1, "cash")
     classes = [service_class for service_class in SERVICE_CLASSES if service_class.name != "cash"]
-    service.step(ConfigReloaded(replace(INITIAL_CONFIG, service_classes=classes)))
-    service.update_endpoints(endpoint_entry("w0"))
-    assert service.attempts[1]
+    checked.step(ConfigReloaded(replace(INITIAL_CONFIG, service_classes=classes)))
+    checked.update_endpoints(endpoint_entry("w0"))
+    assert checked.attempts[1]
     assert [
         type(command)
-        for command in service.end_attempt(1, 0, AttemptOutcome.ERROR)
+        for command in checked.end_attempt(1, 0, AttemptOutcome.ERROR)
         if type(command) is not WriteLog
     ] == [FailRequest]
 
@@ -254,12 +254,12 @@
     Each reload filled the buckets of all tenants, so each time requests worth five seconds of the rate were
     admitted as within the quota. Used tokens must stay used, whatever the reload changes.
     """
-    service = CheckedScheduler(dispatcher_count=1)
-    service.update_endpoints(endpoint_entry("w"))  # from here on the clock does not advance
-    quotas = service.scheduler.admission.quotas
+    checked = CheckedScheduler(dispatcher_count=1)
+    checked.update_endpoints(endpoint_entry("w"))  # from here on the clock does not advance
+    quotas = checked.scheduler.admission.quotas
     within = [quotas.cover("dairy") for _ in range(40)].count(QuotaCoverage.OWN)
     assert within == 26, "five seconds with five requests per second, and one more"
     for config in (INITIAL_CONFIG, LIVE_CONFIG, scheduler_config(3, 1, False, 0.4)):
-        service.step(ConfigReloaded(config))
+        checked.step(ConfigReloaded(config))
         assert quotas.cover("dairy") is QuotaCoverage.BEYOND
     assert quotas.cover(None) is QuotaCoverage.OWN
--- a/tests/scheduler/test_retry_budget.py
+++ b/tests/scheduler/test_retry_budget.py
@@ -80,24 +80,24 @@
     retry again that would have succeeded. The request must be retried as soon as the budget allows it, and
     only one failure of the worker may be logged.
     """
-    service = CheckedScheduler(dispatcher_count=1)
-    service.update_endpoints(endpoint_entry("w"), endpoint_entry("x"))
-    service.arrive(1, "view")
-    budget = service.scheduler.retries.budget
+    checked = CheckedScheduler(dispatcher_count=1)
+    checked.update_endpoints(endpoint_entry("w"), endpoint_entry("x"))
+    checked.arrive(1, "view")
+    budget = checked.scheduler.retries.budget
     _, retry = attempts()
     use_up(budget, retry)
     if has_started:
-        service.step(AttemptStarted(1, 0))
-    service.pass_time(2_000_000)  # more than half its timeout, and more than one and a half report intervals
-    assert not cancelled(service)
+        checked.step(AttemptStarted(1, 0))
+    checked.pass_time(2_000_000)  # more than half its timeout, and more than one and a half report intervals
+    assert not cancelled(checked)
     for _ in range(11):
         budget.on_success()
-    service.pass_time(300_000)
-    assert cancelled(service) == [(1, 0)]
-    logged = [command for command in service.commands if type(command) is WriteLog]
+    checked.pass_time(300_000)
+    assert cancelled(checked) == [(1, 0)]
+    logged = [command for command in checked.commands if type(command) is WriteLog]
     assert len(logged) == 1, "only one failure of the worker is logged"
 
 
-def cancelled(service: CheckedScheduler) -> list[tuple[object, int]]:
-    commands = [command for command in service.commands if type(command) is CancelAttempt]
+def cancelled(checked: CheckedScheduler) -> list[tuple[object, int]]:
+    commands = [command for command in checked.commands if type(command) is CancelAttempt]
     return [(command.request_id, command.attempt) for command in commands]
