--- a/tests/rig.py
+++ b/tests/rig.py
@@ -355,7 +355,7 @@
         seconds = int(stated.removesuffix(b"u")) / 1e6
         if seconds > time_left + STATED_TIME_ALLOWANCE:
             self.report_violation(
-                f"stated: {job.request_id} has {time_left:.3f} s left and its worker gets {seconds:.3f} s"
+                f"stated: {job.request_id} has {time_left:.3f} s left and its worker gets {seconds:.3f}"
             )
 
     def check_end(self, dispatcher: Dispatcher) -> None:
