--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -127,5 +127,5 @@
 
 @pytest.mark.parametrize("seed", [8, 38, 56, 59])
 def test_members_and_ledgers_agree_after_quiet_on_seeds_that_once_left_them_different(seed: int) -> None:
-    outcome = random_runs.play(seed)
+    outcome = random_runs.run(seed)
     assert outcome.agree and outcome.ledgers == 1 and outcome.overruns == 0
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -66,21 +66,21 @@
     and must be granted to them within the lease and a second.
     """
     cluster = settled_cluster()
-    busy = cluster.all[0] if cluster.all[0].agent.allocator is None else cluster.all[1]
+    busy = cluster.processes[0] if cluster.processes[0].member.allocator is None else cluster.processes[1]
 
     def spend_tokens() -> None:
         for _ in range(30):
             busy.spend("dairy")
-        cluster.at(cluster.now + 100_000, spend_tokens)
+        cluster.call_at(cluster.now + 100_000, spend_tokens)
 
-    cluster.at(cluster.now, spend_tokens)
+    cluster.call_at(cluster.now, spend_tokens)
     cluster.run(10 * SECOND)
-    assert busy.agent.local_quota.shares["dairy"] > 600_000
+    assert busy.member.local_quota.shares["dairy"] > 600_000
     busy.kill()
     cluster.run(10 * SECOND + SHARE_LEASE + SECOND)
-    shares = [process.agent.local_quota.shares["dairy"] for process in cluster.all if process.alive]
-    assert sum(shares) > 900_000 - busy.agent.local_quota.guaranteed_minimum
-    assert not cluster.meter.overruns()
+    shares = [process.member.local_quota.shares["dairy"] for process in cluster.processes if process.alive]
+    assert sum(shares) > 900_000 - busy.member.local_quota.guaranteed_minimum
+    assert not cluster.checker.overruns()
 
 
 def test_death_of_the_leader_costs_shares_only_until_another_is_elected() -> None:
@@ -90,13 +90,13 @@
     must sum to nearly the whole again, and to more than the whole at no moment.
     """
     cluster = settled_cluster()
-    leader = next(process for process in cluster.all if process.agent.allocator is not None)
+    leader = next(process for process in cluster.processes if process.member.allocator is not None)
     leader.kill()
     cluster.run(14 * SECOND)
-    live = [process for process in cluster.all if process.alive]
-    assert sum(process.agent.allocator is not None for process in live) == 1
-    assert sum(process.agent.local_quota.shares["dairy"] for process in live) > 800_000
-    assert not cluster.meter.overruns()
+    live = [process for process in cluster.processes if process.alive]
+    assert sum(process.member.allocator is not None for process in live) == 1
+    assert sum(process.member.local_quota.shares["dairy"] for process in live) > 800_000
+    assert not cluster.checker.overruns()
 
 
 def test_member_that_is_cut_off_spends_its_guaranteed_minimum_and_no_more() -> None:
@@ -106,16 +106,16 @@
     its clients. It must have its guaranteed minimum, which needs no message.
     """
     cluster = settled_cluster()
-    isolated = cluster.all[4]
-    cluster.net.cut = {link for name in cluster.names for link in (("d4", name), (name, "d4"))}
+    isolated = cluster.processes[4]
+    cluster.network.cut = {link for name in cluster.names for link in (("d4", name), (name, "d4"))}
     cluster.run(13 * SECOND)  # covers the leader lease, and a share that it granted itself at the end of it
-    assert isolated.agent.local_quota.shares["dairy"] == isolated.agent.local_quota.guaranteed_minimum > 0
-    spent = isolated.spent
+    assert isolated.member.local_quota.shares["dairy"] == isolated.member.local_quota.guaranteed_minimum > 0
+    spent = isolated.spent_tokens
     for _ in range(200):
         cluster.run(cluster.now + 50_000)
         isolated.spend("dairy")
-    assert isolated.spent > spent, "the guaranteed minimum needs no messages"
-    assert not cluster.meter.overruns()
+    assert isolated.spent_tokens > spent, "the guaranteed minimum needs no messages"
+    assert not cluster.checker.overruns()
 
 
 @pytest.mark.parametrize("late", [0, 1, 10 * SECOND])
@@ -143,8 +143,8 @@
     guaranteed minimum.
     """
     cluster = settled_cluster()
-    stopped = next(process for process in cluster.all if process.agent.allocator is None)
-    member, rate, burst = stopped.agent, 60, 60
+    stopped = next(process for process in cluster.processes if process.member.allocator is None)
+    member, rate, burst = stopped.member, 60, 60
     held, minimum = member.local_quota.shares["dairy"], member.local_quota.guaranteed_minimum
     assert held > 3 * minimum > 0
     stopped.pause()
@@ -158,13 +158,13 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_random_run_with_faults_overruns_no_quota(seed: int) -> None:
-    outcome = random_runs.play(seed)
+    outcome = random_runs.run(seed)
     assert not outcome.overruns, outcome.first
-    assert outcome.led_again and outcome.spent
+    assert outcome.has_leader and outcome.spent
 
 
 def test_same_seed_gives_the_same_run() -> None:
-    assert random_runs.play(2) == random_runs.play(2)
+    assert random_runs.run(2) == random_runs.run(2)
 
 
 def test_no_order_of_events_overruns_a_quota() -> None:
@@ -224,17 +224,17 @@
         add_tokens_to_growing_shares(monkeypatch)
     cluster = settled_cluster()
     for step in range(600):
-        for process in cluster.all:
+        for process in cluster.processes:
             for _ in range(9 if process.name == f"d{step // 40 % 2}" else 1):
                 process.spend("dairy")
         cluster.run(cluster.now + 50_000)
-    assert bool(cluster.meter.overruns()) == has_fault
+    assert bool(cluster.checker.overruns()) == has_fault
 
 
 @pytest.mark.parametrize("fault", [ignore_lease_expiry, skip_wait_for_earlier_grants, elect_without_majority])
 def test_checker_finds_each_injected_fault(fault: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     fault(monkeypatch)
-    assert any(random_runs.play(seed).overruns for seed in range(40))
+    assert any(random_runs.run(seed).overruns for seed in range(40))
 
 
 def test_model_checking_finds_an_allocator_that_does_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -263,4 +263,4 @@
 
 
 def test_virtual_cluster_runs_the_cluster_member() -> None:
-    assert VirtualCluster(1, ["d0"]).of is ClusterMember
+    assert VirtualCluster(1, ["d0"]).member_factory is ClusterMember
