--- a/locktide/scheduler/__init__.py
+++ b/locktide/scheduler/__init__.py
@@ -2,8 +2,8 @@
 
 The package does no I/O, starts no thread and reads no clock. A host, the dispatcher process
 (`locktide.dispatcher`) or the simulator's adapter (`locktide.bench_adapter`), builds one `Scheduler(seed,
-config)` from a `SchedulerConfig` and calls `step(now, events)`. It returns commands, which the host has to
-execute in their order, at that moment. The same seed, configuration and events give the same commands.
+config)` from a `SchedulerConfig` and calls `step(now, events)`. `step` returns commands, which the host has
+to execute in their order, at that moment. The same seed, configuration and events give the same commands.
 
 Rules for a host:
 
--- a/locktide/scheduler/commands.py
+++ b/locktide/scheduler/commands.py
@@ -1,8 +1,8 @@
 """Commands: what the host executes for the scheduler.
 
 Times are in microseconds. Commands are not modified after their construction. Types with several commands per
-request are still not declared frozen: building a frozen dataclass of three fields took 1.4 us, a plain one
-0.4 us.
+request are nevertheless not declared frozen: building a frozen dataclass of three fields took 1.4 us, a plain
+one 0.4 us.
 """
 
 from __future__ import annotations
--- a/locktide/scheduler/estimators/rendezvous_orders.py
+++ b/locktide/scheduler/estimators/rendezvous_orders.py
@@ -18,7 +18,7 @@
         self._orders: dict[tuple[int, GroupT], list[SaltedT]] = {}
 
     def order(self, groups: Mapping[GroupT, list[SaltedT]], group: GroupT, key: int) -> list[SaltedT]:
-        """Return the candidates of a group in the key's order; each change needs a new `groups` object."""
+        """Return the candidates of a group in the key's order; changed candidates need a new `groups`."""
         if groups is not self._groups:
             self._groups = groups
             self._orders = {}
--- a/locktide/scheduler/events.py
+++ b/locktide/scheduler/events.py
@@ -1,8 +1,8 @@
 """Events: what a host reports to the scheduler.
 
 Times are in microseconds, on the clock whose time is passed to `Scheduler.step`. Events are not modified
-after their construction. Types with several events per request or one object per listed worker are still not
-declared frozen: building a frozen dataclass of three fields took 1.4 us, a plain one 0.4 us.
+after their construction. Types with several events per request or one object per listed worker are
+nevertheless not declared frozen: building a frozen dataclass of three fields took 1.4 us, a plain one 0.4 us.
 """
 
 from __future__ import annotations
--- a/locktide/scheduler/policy/affinity.py
+++ b/locktide/scheduler/policy/affinity.py
@@ -4,7 +4,7 @@
 
 - All dispatchers compute the same order of the endpoints for the key, by rendezvous hashing.
 - The endpoint is drawn among the first n of this order. n is the key's share of all requests of this
-  dispatcher, times the number of endpoints, times 1.5. It is at least two, as a queue forms at a single one.
+  dispatcher, times the number of endpoints, times 1.5. n is at least two: at a single endpoint a queue forms.
 - While the request is not placed, n doubles for each half of a usual run time since its arrival.
 - Among these n endpoints, those that are crowded are skipped. Crowded means a high load in requests per core.
 
@@ -20,7 +20,8 @@
 
 #: Minimum number of endpoints of a key.
 MIN_ENDPOINTS = 2
-#: Endpoints of a key, relative to its share of the requests: absorbs peaks above this share.
+#: Number of endpoints of a key, relative to its share of the requests: the excess absorbs peaks above this
+#: share.
 ENDPOINTS_PER_SHARE = 1.5
 #: Added before an endpoint count is truncated, so that it is rounded up unless the excess is a rounding
 #: error.
--- a/locktide/scheduler/policy/attempt_outcomes.py
+++ b/locktide/scheduler/policy/attempt_outcomes.py
@@ -108,8 +108,9 @@
     def _was_cancelled_early(self, attempt: Attempt, outcome: AttemptOutcome) -> bool:
         """Return whether the attempt was cancelled while its start would still have been prompt.
 
-        Otherwise each client that disconnects early would cut the concurrency limit of a healthy worker by a
-        quarter (test_an_attempt_cancelled_before_its_start_is_late_does_not_cut_the_limit).
+        If such an attempt counted as a late start, each client that disconnects early would cut the
+        concurrency limit of a healthy worker by a quarter
+        (test_an_attempt_cancelled_before_its_start_is_late_does_not_cut_the_limit).
         """
         is_early = attempt.cancelled_at - attempt.sent_at <= self.timeouts.prompt_start
         return outcome == CANCELLED and bool(attempt.cancelled_at) and is_early
--- a/locktide/scheduler/policy/attempt_timeouts.py
+++ b/locktide/scheduler/policy/attempt_timeouts.py
@@ -5,11 +5,11 @@
 - Prompt start: within a quarter of the shortest latency objective after the attempt was sent. A later start
   is late, which lowers the concurrency limit of the worker (`concurrency_limit`). While an attempt of ours is
   late at a worker, nothing else is sent there.
-- First check: a fraction of the slack of the request after its command, but not before a prompt start is
-  over. If the attempt has not started, a retry may replace it (`retries`). The fraction leaves time for
+- First check: a fraction of the slack of the request after its command, but not while a start would still
+  be prompt. If the attempt has not started, a retry may replace it (`retries`). The fraction leaves time for
   several more attempts.
 - No start: two usual run times after the attempt was sent. If its worker has reported no start, progress or
-  result of any attempt of ours since, and was not full, it is suspected.
+  result of any attempt of ours since, and was not full, the worker is suspected.
 - Presumed lost: half the timeout of its class after its command. An attempt that has not started by then
   seldom succeeds. From then on a retry may also replace the attempt of a request that may be repeated only at
   few workers.
@@ -42,7 +42,8 @@
 #: The same if ratings show that no worker has free cores: queues are no shorter elsewhere, so the attempt is
 #: given the whole slack.
 SLACK_PER_FIRST_CHECK_RATED_BUSY = 1
-#: Usual run times without a start after which a silent worker is suspected: a queue moves within that time.
+#: Number of usual run times without a start after which a silent worker is suspected: a queue advances within
+#: that time.
 USUAL_RUNS_UNTIL_NO_START = 2
 #: An attempt without a start is presumed lost after the timeout of its class divided by this: it seldom
 #: succeeds in the remaining time, while a retry still can.
@@ -65,7 +66,7 @@
     outliers: OutlierDetector
     retries: RetryPolicy
     strategies: PlacementStrategies
-    prompt_start: int = field(default=0, init=False)  # the longest prompt start
+    prompt_start: int = field(default=0, init=False)  # longest time to a prompt start
 
     def configure(self) -> None:
         """Apply the configuration in force."""
@@ -88,7 +89,7 @@
             self.timers.set(max_silence(interval), attempt)
 
     def check(self, attempt: Attempt) -> None:
-        """Check an attempt whose timer has fired for its start or progress."""
+        """Check whether an attempt whose timer has fired has started, or has reported progress."""
         if attempt.request.is_answered:
             return
         if attempt.started_at:
--- a/locktide/scheduler/policy/concurrency_limit.py
+++ b/locktide/scheduler/policy/concurrency_limit.py
@@ -31,8 +31,8 @@
 #: Requests of one slot that the minimum limits of all dispatchers together may put on each slot. Beyond this
 #: the minimum is less than one request.
 REQUESTS_PER_SLOT = 3.0
-#: How long an endpoint that refused a connection has no capacity, in microseconds: as long as an endpoint may
-#: take to come up.
+#: Time during which an endpoint that refused a connection counts as without capacity, in microseconds: as
+#: long as an endpoint may take to start.
 REFUSED_PAUSE = 250_000
 
 
@@ -84,8 +84,8 @@
 
         Without a minimum, two dispatchers that share an endpoint see each other's work as late starts and
         lower their limits in turn until both send one request at a time: slots stay idle while the pool
-        grows. A limit of our share cannot cause late starts of others. A minimum of one request in all cases
-        would be no limit with many dispatchers: seventeen of them with one request each overfill every
+        grows. A limit equal to our share cannot cause late starts of others. A minimum of one request in all
+        cases would be no limit with many dispatchers: seventeen of them with one request each overfill every
         endpoint. So the minimum is our share, and one whole request only while all minima together stay
         within `REQUESTS_PER_SLOT`.
         """
--- a/locktide/scheduler/policy/endpoint_polling.py
+++ b/locktide/scheduler/policy/endpoint_polling.py
@@ -11,8 +11,8 @@
   notified only after twice as long again.
 - If a dispatcher counts as notified of a change after `notified_within`, whether or not its calls succeeded,
   the span after a failure is at most two thirds of `notified_within`, as every rejected call delays those of
-  the other dispatchers. After a call without response it is at most one third, since that call itself took up
-  to a half. Otherwise the dispatcher would send by a list from before an outage.
+  the other dispatchers. After a call without response the span is at most one third, since that call itself
+  took up to a half. With longer spans the dispatcher would still use a list from before an outage.
 
 A successful call starts a watch of the list; no further call is made until the watch fails.
 """
--- a/locktide/scheduler/policy/load_shedding.py
+++ b/locktide/scheduler/policy/load_shedding.py
@@ -8,8 +8,8 @@
   usual slack of any class, but at most this share of its own slack. The higher the weight of the worst-served
   class in the objective, the nearer the mean is to the shortest slack.
 - A request that is possibly executed waits longer, while another attempt could still help.
-- After that the request is rejected with advice when to retry, or failed if a retry by the client may do
-  harm.
+- After this time the request is rejected with advice when to retry, or failed if a retry by the client may
+  do harm.
 
 Why: in an overload, requests with a long slack would fill the pool, and classes with a short slack would not
 be served. A late response has little value, so a request that cannot be served in time is rejected while its
@@ -43,7 +43,7 @@
 #: the fastest endpoint takes half of the mean.
 POSSIBLE_RUN_SHARE = 0.5
 #: Weight of the shortest usual slack in the mean if the worst-served class has no weight in the objective.
-#: From 0 (each class waits according to its own slack) to 1 (all classes wait equally long).
+#: It ranges from 0 (each class waits according to its own slack) to 1 (all classes wait equally long).
 MIN_EVENNESS = 0.3
 #: Added to `MIN_EVENNESS` for each unit of `ObjectiveConfig.worst_class_weight`.
 EVENNESS_PER_WEIGHT = 2.0
--- a/locktide/scheduler/policy/outlier_detection.py
+++ b/locktide/scheduler/policy/outlier_detection.py
@@ -10,8 +10,8 @@
 fault; no start and no other sign of life; no progress report; progress far slower than usual for the class; a
 stale rating.
 
-What clears it: a success halves the failures; a start that was only late undoes its failure; a changed rating
-ends the suspicion for a stale rating at once; all counts decay with time.
+What ends a suspicion: a success halves the failures; a start that was only late undoes its failure; a changed
+rating ends the suspicion for a stale rating at once; all counts decay with time.
 """
 
 from math import exp
@@ -33,18 +33,18 @@
 from locktide.scheduler.types import EndpointState, SuspicionReason
 
 MICROSECONDS_PER_MILLISECOND = 1000
-#: Decayed failures from which on an endpoint is suspected: after one failure it is suspected for seven
-#: seconds (ln 2 times `HEALTH_MEMORY`), unless a success comes first.
+#: Decayed count of failures at and above which an endpoint is suspected: after one failure it is suspected
+#: for seven seconds (ln 2 times `HEALTH_MEMORY`), unless an attempt succeeds within that time.
 MIN_FAILURES_TO_SUSPECT = 0.5
-#: Number of updates with changes to most ratings, but not to its own, after which an endpoint is suspected:
-#: one change may be missed.
+#: Number of updates that change most ratings, but not an endpoint's own, after which the endpoint is
+#: suspected: one change may be missed.
 MAX_STALE_RATINGS = 2
 #: Fraction of its count of successes that an endpoint loses with a failure.
 SUCCESSES_LOST_BY_FAILURE = 0.75
 #: Fraction of its count of failures that an endpoint loses with a success.
 FAILURES_LOST_BY_SUCCESS = 0.5
-#: Run time, in multiples of the work hint, beyond which a run is slow: more than a healthy worker takes with
-#: a rough hint.
+#: Run time, in multiples of the work hint, beyond which a run is slow: a healthy worker takes less even if
+#: the hint is rough.
 SLOW_RUN_PER_HINT = 4.0
 #: Minimum fraction done in the projection of a run time; prevents a division by zero on a report of no
 #: progress.
@@ -56,7 +56,8 @@
 MAX_COUNT_IN_PROBE_DRAW = 8
 #: Drawn health, from 0 to 1, above which a probe is sent.
 MIN_HEALTH_FOR_PROBE = 0.5
-#: Decayed errors attributed to requests, up to which a single error is still attributed to the endpoint.
+#: Decayed count of errors attributed to requests up to which a single error is still attributed to the
+#: endpoint.
 MAX_REQUEST_ERRORS_TO_BLAME_ENDPOINT = 0.5
 
 
@@ -133,7 +134,7 @@
         # A client that sends requests which fail at any worker would make the workers that run them
         # suspected, and soon every worker (test_a_flood_of_requests_that_fail_anywhere_suspects_no_worker).
         # So an error is not yet attributed to the endpoint while the request may be retried, and a single
-        # error never is while most errors were attributed to requests.
+        # error is never attributed to it while most errors were attributed to requests.
         now = self._clock.now
         if is_suspected(endpoint, now):  # the error says nothing about the request
             self.record_failure(endpoint, SuspicionReason.ERROR)
--- a/locktide/scheduler/policy/placement_strategy.py
+++ b/locktide/scheduler/policy/placement_strategy.py
@@ -1,4 +1,4 @@
-"""Placement strategies: how an endpoint is drawn, and what else depends on knowledge of their load.
+"""Placement strategies: how endpoints are drawn, and what else depends on knowledge of their load.
 
 There are two strategies. If the load of endpoints is unknown, the draw is uniform (`uniform_placement`). If
 the ratings of the endpoint list fall with load, the draw is weighted by them (`weighted_placement`). The
--- a/locktide/scheduler/policy/quotas.py
+++ b/locktide/scheduler/policy/quotas.py
@@ -58,7 +58,7 @@
         return next((stage for stage in self.shares.stages if now < stage.until), NO_STAGE)
 
     def cover(self, tenant: TenantId | None) -> QuotaCoverage:
-        """Return what covers one more request of the tenant, and take its token."""
+        """Return what covers one more request of the tenant, and take a token for the request."""
         if tenant is None or tenant not in self.buckets:
             return OWN
         stage = self.stage()
--- a/locktide/scheduler/policy/retries.py
+++ b/locktide/scheduler/policy/retries.py
@@ -79,8 +79,9 @@
     def renew_queue_deadline(self, request: Request) -> None:
         """Restart the queue timeout of a request that returns to the pool.
 
-        A background request waits only while another attempt is allowed. Otherwise it would wait for its
-        deadline without a chance (test_background_job_is_failed_once_its_repeats_are_no_longer_dropped).
+        A background request waits only while another attempt is allowed. Otherwise it would wait until its
+        deadline although it can no longer be sent
+        (test_background_job_is_failed_once_its_repeats_are_no_longer_dropped).
         """
         if request.is_background:
             request.queue_deadline = self._shedder.repeat_deadline(request)
--- a/locktide/scheduler/policy/retry_budget.py
+++ b/locktide/scheduler/policy/retry_budget.py
@@ -11,7 +11,8 @@
 
 from locktide.scheduler.state import Attempt
 
-#: Maximum and initial budget: so many requests can be retried at once after a sudden fault of some workers.
+#: Maximum and initial budget: the number of requests that can be retried at once after a sudden fault of some
+#: workers.
 MAX_RETRY_BUDGET = 10.0
 #: Retries that a success adds to the budget.
 EARNED_BY_SUCCESS = 0.1
--- a/locktide/scheduler/policy/retry_eligibility.py
+++ b/locktide/scheduler/policy/retry_eligibility.py
@@ -1,7 +1,7 @@
 """Retry eligibility: whether, where and until when a request may be attempted again, or else be rejected.
 
-This module ensures that no effect happens twice. An attempt that is not proven not to have run may have run.
-After such an attempt a request is sent again only where the repeat has no further effect:
+This module ensures that no effect happens twice. An attempt may have run unless the opposite is proven. After
+an attempt that may have run, a request is sent again only where the repeat has no further effect:
 
 - at most once: nowhere;
 - idempotent with a key: to workers in the deduplication scope of that attempt, until the deduplication window
@@ -46,7 +46,7 @@
 
 
 def repeatable_until(request: Request) -> int | None:
-    """Return the time from which workers no longer drop repeats, so that none may be sent; None: no limit.
+    """Return the time from which no repeat may be sent, as workers no longer drop it; None: no limit.
 
     The time may be zero or negative: an attempt of an earlier process may have been sent before the zero of
     the clock (test_recovered_request_sent_before_the_zero_of_the_clock_fails_at_once).
--- a/locktide/scheduler/policy/slow_start.py
+++ b/locktide/scheduler/policy/slow_start.py
@@ -8,12 +8,13 @@
   the slots of the endpoint, in microseconds. The slots come from ratings if these state a size, otherwise
   from observation.
 - The budget of a warm endpoint is the total need that all dispatchers together may send to it within a
-  window. The budget of a warming endpoint is this times its factor. Each dispatcher has an even share of it.
+  window. The budget of a warming endpoint is that of a warm one times the factor. Each dispatcher has an
+  even share of each budget.
 - A request that fits our share of the budget of one endpoint is sent when that share has enough left. A
-  larger request is sent if it is no more than a given fraction of the endpoint's whole budget, and fits our
-  share of the budgets of all warming endpoints together.
+  larger request is sent if its need is no more than a given fraction of the endpoint's whole budget, and fits
+  our share of the budgets of all warming endpoints together.
 
-Why: a warming endpoint that is sent more falls over, and no dispatcher sees what the others send.
+Why: an overloaded warming endpoint crashes, and no dispatcher sees what the others send.
 """
 
 from locktide.scheduler.estimators.decaying_sum import DecayingSum
@@ -90,8 +91,8 @@
         """Return the warming endpoint that this dispatcher prefers for a window, drawn by slow-start factor.
 
         While most warming endpoints are full, the pooled budget, which counts all of them, would go to the
-        few that have capacity: one worker was sent 4 and 7 times as much as it could take, and fell over.
-        With one endpoint for each dispatcher the budget stays spread, whichever endpoints have capacity
+        few that have capacity: one worker was sent 4 and 7 times as much as it could take, and crashed. With
+        one endpoint for each dispatcher the budget stays spread, whichever endpoints have capacity
         (`test_warming_workers_share_the_budget_though_only_one_has_capacity`).
         """
         window_ends = self._preferred_at + self._config.current.slow_start.window
--- a/locktide/scheduler/policy/weighted_placement.py
+++ b/locktide/scheduler/policy/weighted_placement.py
@@ -63,7 +63,7 @@
         return True
 
     def fleet_load(self) -> FleetLoad:
-        """Return whether there are free cores, by the mean load."""
+        """Return whether the mean load leaves cores free."""
         has_free_cores = self.estimates.mean_load < FREE_CORES_LOAD
         return FleetLoad.FREE_CORES if has_free_cores else FleetLoad.NO_FREE_CORES
 
@@ -93,8 +93,8 @@
         """Set the weights of the endpoints that are warming up.
 
         An endpoint that has just started is idle, so by its rating every dispatcher would draw it ten times
-        as often as the others: one was sent four times as much as it could take and fell over. With the mean
-        weight times its factor it is drawn less often than a warm one
+        as often as the others: one such endpoint was sent four times as much as it could take and crashed.
+        With the mean weight times its factor it is drawn less often than a warm one
         (`test_a_worker_that_has_just_started_is_drawn_less_often_than_the_others`).
         """
         mean = sum(weights) / max(1, len(weights) - len(warming)) or 1.0
--- a/locktide/scheduler/scheduler.py
+++ b/locktide/scheduler/scheduler.py
@@ -65,7 +65,7 @@
 
 
 class Scheduler:
-    """Decides for one dispatcher: `step` takes events and returns commands, without I/O or a clock."""
+    """Decides for one dispatcher, without I/O or a clock: `step` takes events and returns commands."""
 
     def __init__(self, seed: int, config: SchedulerConfig) -> None:
         self._create_state(seed, config)
--- a/locktide/scheduler/state/endpoint.py
+++ b/locktide/scheduler/state/endpoint.py
@@ -57,7 +57,7 @@
         self.id = entry.worker
         self.slots_in_flight = 0.0  # taken by our attempts
         self.concurrency_limit = concurrency_limit  # how many slots our attempts may take
-        self.unstarted: dict[UnstartedAttempt, None] = {}  # our attempts, oldest first
+        self.unstarted: dict[UnstartedAttempt, None] = {}  # our attempts that have not started, oldest first
         self.paused_until = 0  # under a limit of one slot: end of the pause between two attempts
         self.unavailable_until = 0  # end of the pause after it was full or refused a connection
         self.last_heard_at = 0  # time of its last sign of life
@@ -71,7 +71,7 @@
         self.reset_rating()
 
     def update(self, entry: EndpointEntry) -> None:
-        """Copy all fields of its entry in the endpoint list except the rating."""
+        """Copy all fields of the entry except the rating."""
         self.zone = entry.zone
         self.worker_type = entry.worker_type
         self.cell = entry.cell
@@ -89,7 +89,7 @@
         )
 
     def satisfies(self, constraint: PlacementConstraint | None) -> bool:
-        """Return whether the constraint allows its worker type and zone."""
+        """Return whether the constraint allows the worker type and the zone of the endpoint."""
         if constraint is None:
             return True
         types, zones = constraint
--- a/locktide/scheduler/state/fleet_estimates.py
+++ b/locktide/scheduler/state/fleet_estimates.py
@@ -69,11 +69,11 @@
         self.run_times[request.service_class.name].add(run_time, now)
 
     def usual_run_time(self, request: Request) -> float:
-        """Return the mean run time of requests of its service class, in microseconds."""
+        """Return the mean run time of requests of the same service class, in microseconds."""
         return self.run_times[request.service_class.name].mean(self._clock.now)
 
     def expected_work(self, request: Request) -> float:
-        """Return the larger of its work hint and its usual run time, times its width, in microseconds.
+        """Return the larger of the request's work hint and usual run time, times its width, in microseconds.
 
         The hint alone is not enough: one rough hint in ten is a third of the run time.
         """
--- a/locktide/scheduler/state/request.py
+++ b/locktide/scheduler/state/request.py
@@ -49,9 +49,9 @@
         self.not_before = 0  # end of the back-off after a worker was full
         self.attempts: list[Attempt] = []
         self.open_attempts: list[Attempt] = []  # those without an outcome
-        self.possibly_executed: list[Attempt] = []  # attempts that are not proven not to have run
+        self.possibly_executed: list[Attempt] = []  # attempts that may have run
         self.uncounted_attempts = 0  # attempts that do not count towards `max_attempts`
-        self.error_endpoints: list[Endpoint] = []  # where it failed while they were not suspected
+        self.error_endpoints: list[Endpoint] = []  # unsuspected endpoints where it failed
         self.is_in_pool = False
         self.is_answered = False
         self.is_background = arrival.background
