--- a/locktide/transport/client_connection.py
+++ b/locktide/transport/client_connection.py
@@ -15,8 +15,8 @@
 
 #: Seconds in which a message must be received completely: the first from the accept, a later one from its
 #: first byte; also the time in which a peer that has not proven itself must begin another message. An honest
-#: client sends at once; any other must get a response or a close within 3 s of connecting, part of which may
-#: pass before the connection is accepted.
+#: client sends at once; any other client must get a response or a close within 3 s of connecting, and part of
+#: these 3 s may pass before the connection is accepted.
 MESSAGE_TIMEOUT = 2.0
 #: Seconds after its connect in which a newcomer is not closed to free its descriptor, as its first message
 #: may be on its way. The next connection waits as long in the kernel's queue, which leaves each connection
@@ -95,7 +95,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no response is due on it and its peer would resend a message that crosses its close."""
+        """Whether no response is due here and the peer would resend a message that crosses a close."""
         is_quiet = self.protocol.received_bytes == self.consumed_bytes and not self.protocol.has_ended
         return self.state is ConnectionState.IDLE and self.is_proven and is_quiet
 
@@ -171,7 +171,7 @@
         self.context.descriptors.mark_idle(self, self.writer.close, self.is_proven, evictable_at)
 
     def mark_busy(self) -> None:
-        """Forbid the budget to close this connection."""
+        """Forbid the budget to close this connection to free its descriptor."""
         self.context.descriptors.mark_busy(self)
 
     def half_close(self, seconds: float) -> None:
@@ -192,7 +192,7 @@
         self.linger_timer = asyncio.get_running_loop().call_later(seconds, self.writer.close)
 
     async def linger(self, seconds: float) -> None:
-        """Shut our side, then read until the peer ends its side; every orderly end is done this way."""
+        """Shut our side, then read until the peer ends its side; every orderly close works this way."""
         self.half_close(seconds)
         with suppress(OSError):
             while await self.read():
--- a/locktide/transport/client_session.py
+++ b/locktide/transport/client_session.py
@@ -79,7 +79,7 @@
         return await self.consume()
 
     async def wait_readable(self, is_idle: bool) -> bool:
-        """Wait for bytes; allow a close meanwhile if it loses nothing. Return whether bytes have arrived."""
+        """Wait for bytes; allow a close if it loses no message. Return whether bytes have arrived."""
         connection = self.connection
         if is_idle or not connection.is_proven:
             connection.mark_idle()
@@ -92,7 +92,7 @@
     async def consume(self) -> bool:
         """Feed the bytes read; return whether the next message can be parsed.
 
-        It cannot be after the end of the stream or beyond the limit of stored bytes.
+        No message can be parsed after the end of the stream or beyond the limit of stored bytes.
         """
         connection = self.connection
         data = connection.consume()
--- a/locktide/transport/descriptor_budget.py
+++ b/locktide/transport/descriptor_budget.py
@@ -58,11 +58,12 @@
 
     If no descriptor is free, the connection that has been idle longest is evicted (closed) for the next one.
     Connections that have not proven themselves are evicted first, so that a flood of newcomers displaces only
-    newcomers. While each of these is so new that its first message may be on its way, the next one waits.
+    newcomers. While each of these is so new that its first message may be on its way, the next connection
+    waits.
 
-    Exactly one connection is evicted for each one that waits. An eviction takes some turns of the event loop,
-    in which other connections become idle, for example those just opened: if these were evicted as well, they
-    would be closed with their first message unread
+    Exactly one connection is evicted for each connection that waits. An eviction takes some turns of the
+    event loop, in which other connections become idle, for example those just opened: if these were evicted
+    as well, they would be closed with their first message unread
     (test_one_connection_is_evicted_for_each_that_waits_and_no_more).
 
     Attributes:
@@ -70,7 +71,7 @@
         used: Number of descriptors in use.
         idle_unproven: The idle connections that have not proven themselves, idle longest first.
         idle_proven: The other idle connections, idle longest first.
-        idle_count: How often connections became idle.
+        idle_count: How many times a connection has become idle.
         waiting: One future for each connection that waits for a descriptor, in order of arrival.
         evicted: Evicted connections that have not released their descriptors yet.
         eviction: The task of the current eviction.
@@ -161,8 +162,8 @@
                 last_number = self.idle_count
                 # A connection may be closed only after all bytes that have arrived are read: otherwise a
                 # request that was at the socket before the eviction is lost
-                # (test_message_that_has_come_is_read_before_an_eviction). For connections that become idle
-                # meanwhile this does not hold yet; they are left to the next iteration.
+                # (test_message_that_has_come_is_read_before_an_eviction). Bytes on connections that become
+                # idle meanwhile may still be unread; these connections are left to the next iteration.
                 await run_pending_reads()
                 self.close_idle(last_number)
         finally:
--- a/locktide/transport/endpoint_watch.py
+++ b/locktide/transport/endpoint_watch.py
@@ -50,7 +50,7 @@
 
     Attributes:
         address: Address of discovery.
-        version: Version of the list that is held; None if the whole list has to be fetched.
+        version: Version of the present list; None if the whole list has to be fetched.
         is_failing: Whether the last call failed.
     """
 
@@ -70,7 +70,7 @@
             address: Address of discovery.
             on_update: Called with each update.
             log: The log.
-            version: Version of the list that is held already.
+            version: Version of the list that the caller has already.
             first_response_timeout: Seconds beyond the wait that the response to the first call on a
                 connection may take: an agent whose calls are expensive lets a call wait for its turn.
             wait_for_retry: Called after a failed call, with whether it timed out; waits until the next call
@@ -153,8 +153,8 @@
     def _accept_version(self, update: DiscoveryUpdate) -> None:
         """Store the version of an update, or make the next call fetch the whole list.
 
-        A delta with a lower version comes from an agent that counts versions on its own: the list that is
-        held came from another agent, by way of the cache.
+        A delta with a lower version comes from an agent that counts versions on its own: the present list
+        was sent by another agent and restored from the cache.
         """
         is_behind = self.version is not None and update.version < self.version and not update.is_snapshot
         self.version = None if is_behind else update.version
--- a/locktide/transport/idle_connections.py
+++ b/locktide/transport/idle_connections.py
@@ -35,7 +35,7 @@
     def expired(self, idle_before: float) -> list[UpstreamConnection]:
         """Return the connections that became idle before `idle_before`, in seconds, or are unusable.
 
-        Unusable connections have ended or have received bytes without a request.
+        A connection is unusable if it has ended or has received bytes without a request.
         """
         return [
             connection
--- a/locktide/transport/interfaces.py
+++ b/locktide/transport/interfaces.py
@@ -42,7 +42,8 @@
     def handle_callback(self, message: Callback) -> Awaitable[None] | None:
         """Handle a callback; if an awaitable is returned, the worker gets its response once it is done.
 
-        If it raises OSError, the worker gets no response and keeps its message to repeat it.
+        If the method or the awaitable raises OSError, the worker gets no response and keeps its message to
+        repeat it.
         """
 
     def query_job(self, message: JobQuery) -> Response:
--- a/locktide/transport/upstream_connection.py
+++ b/locktide/transport/upstream_connection.py
@@ -18,8 +18,8 @@
 #: Seconds for which a connection is not reused after a response that ended an attempt. A worker may send a
 #: response twice, some milliseconds apart: the second would be read as the response to the next request, and
 #: a running job would count as rejected (test_connection_is_not_reused_while_its_response_may_be_sent_twice).
-#: A 202 needs no such delay: read as the response to the next job, it says that the job may run, which is
-#: true.
+#: A 202 needs no such delay: if it is read as the response to the next job, it says that this job may run,
+#: which is true.
 DUPLICATE_RESPONSE_WINDOW = 0.05
 
 
@@ -33,7 +33,7 @@
         is_connected: Whether it was established.
         is_reused: Whether it has carried a request before the current one.
         idle_since: When it became idle, in seconds of the event loop.
-        received_when_idle: Number of bytes that had arrived by then.
+        received_when_idle: Number of bytes that had arrived when it became idle.
         reusable_at: When it may carry the next request, in seconds of the event loop.
     """
 
@@ -95,7 +95,7 @@
 
     @property
     def is_quiet(self) -> bool:
-        """Whether the connection has neither ended nor received bytes without a request.
+        """Whether the connection is open and has received no bytes while it carried no request.
 
         Bytes that arrived while it was idle may be a duplicate response, which would be taken for the
         response to the next request
--- a/locktide/transport/upstream_pool.py
+++ b/locktide/transport/upstream_pool.py
@@ -22,7 +22,7 @@
 
 
 class UpstreamPool:
-    """Owns all connections to workers; only `close` releases the descriptor of one.
+    """Owns all connections to workers; only `close` releases the descriptor of a connection.
 
     Attributes:
         descriptors: Budget of these connections.
