--- a/locktide/protocol/callbacks.py
+++ b/locktide/protocol/callbacks.py
@@ -24,7 +24,7 @@
 
 
 def _read_callback(document: Any) -> Callback:
-    """Read a callback from decoded JSON; raise one of `_MALFORMED` where it is not one."""
+    """Read a callback from decoded JSON; raise one of `_MALFORMED` if it is no callback."""
     state = document[CallbackKey.STATE]
     is_final = state not in (names.STARTED, names.RUNNING)
     return Callback(
--- a/locktide/protocol/discovery.py
+++ b/locktide/protocol/discovery.py
@@ -17,8 +17,8 @@
 #: Largest body of a list, in bytes; enough for some tens of thousands of workers.
 MAX_LIST_SIZE = 8 * 1024 * 1024
 
-#: Largest fraction of a list's entries that may be malformed. Above it the whole list is rejected and the one
-#: in use stays, as dropping most workers would stop the traffic.
+#: Largest fraction of a list's entries that may be malformed. Above it the whole list is rejected and the
+#: list in use stays, as dropping most workers would stop the traffic.
 MAX_MALFORMED_FRACTION = 0.5
 
 #: Path that error messages give for a list that discovery has sent.
@@ -77,8 +77,8 @@
     """Read the body of discovery's response.
 
     An entry that is malformed, or whose worker is listed twice, is left out, and its worker is recorded as
-    unreadable. Otherwise a single such entry, for example one with a state of a later version, would block
-    every later change of the list, including drains. Covered by
+    unreadable. If the whole list were rejected instead, a single such entry, for example with a state of a
+    later version, would block every later change of the list, including drains. Covered by
     `test_unreadable_entry_costs_its_worker_alone`.
 
     Raises:
--- a/locktide/protocol/errors.py
+++ b/locktide/protocol/errors.py
@@ -1,8 +1,8 @@
 """Errors of parsing messages.
 
 Both report a fault of the peer: it sent something invalid, or stopped sending. Calling the methods of a
-connection in the wrong order is a fault of this program: it raises `h11.LocalProtocolError`, which nothing
-catches.
+connection in the wrong order is a fault of this program and raises `h11.LocalProtocolError`, which is never
+caught.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class ProtocolError(LocktideError):
-    """The peer sent what HTTP does not allow, or ended the connection before its message was complete.
+    """The peer violated HTTP, or ended the connection before its message was complete.
 
     Attributes:
         peer: The peer at fault, as HOST:PORT; empty where the message does not name it.
--- a/locktide/protocol/header_fields.py
+++ b/locktide/protocol/header_fields.py
@@ -42,7 +42,7 @@
 
 
 def read_fields(head: h11.Request) -> dict[str, str]:
-    """Return the header fields by lower-case name; raise RejectedMessageError for a repeated one."""
+    """Return the header fields by lower-case name; raise RejectedMessageError for a repeated field."""
     fields: dict[str, str] = {}
     for raw_name, value in head.headers:
         name = raw_name.decode("ascii")
--- a/locktide/protocol/messages.py
+++ b/locktide/protocol/messages.py
@@ -9,8 +9,8 @@
 #: Header fields of a message, in order, spelled as they are on the wire.
 Headers = list[tuple[bytes, bytes]]
 
-#: Shortest time since its receipt that is subtracted from a request's timeout, in microseconds: the margin of
-#: its deadline covers shorter times.
+#: Shortest time between receipt and reading of a request that is subtracted from its timeout, in
+#: microseconds: the margin of its deadline covers shorter times.
 MIN_TIME_WAITED = 20_000
 #: Shortest timeout that can result, in microseconds: the request is answered at once.
 MIN_TIMEOUT = 1
@@ -62,8 +62,8 @@
         """Return how much of the timeout is left, in microseconds; `now` is in seconds of the event loop.
 
         A request may stay unread for a long time: in the kernel's queue of connections, or while the process
-        gets no CPU time. The client's timeout runs meanwhile. Counted from the time of reading, the timeout
-        that a worker was given was longer than what was left
+        gets no CPU time. The client's timeout runs meanwhile. If the timeout were counted from the time of
+        reading, a worker would be given more time than is left
         (test_no_attempt_tells_more_time_than_is_left_by_a_dispatcher_held_up_before_it_reads).
         """
         if self.received_at is None:
--- a/locktide/protocol/names.py
+++ b/locktide/protocol/names.py
@@ -1,4 +1,4 @@
-"""The names of header fields, paths, JSON keys and states on the wire; each is written here and nowhere else.
+"""The names of header fields, paths, JSON keys and states on the wire; each is defined only here.
 
 Keys of the endpoint list are in `locktide.config.platform_keys`, as the start file also contains a list.
 
--- a/locktide/protocol/request_framing.py
+++ b/locktide/protocol/request_framing.py
@@ -16,9 +16,9 @@
 def check_framing(head: h11.Request) -> None:
     """Raise RejectedMessageError where the body is too large or its end is ambiguous.
 
-    Otherwise a request could be hidden in the body of another (request smuggling, RFC 9112, 11.2): where the
-    length is stated twice, a proxy in front of the dispatcher may use one length and the dispatcher the
-    other. HTTP/1.0 has no transfer codings. Covered by `test_bad_request_is_rejected_with_its_4xx`.
+    Otherwise a request could be hidden in the body of another request (request smuggling, RFC 9112, 11.2):
+    where the length is stated twice, a proxy in front of the dispatcher may use one length and the dispatcher
+    the other. HTTP/1.0 has no transfer codings. Covered by `test_bad_request_is_rejected_with_its_4xx`.
     """
     framing_fields = [name for name, _ in head.headers if name in (CONTENT_LENGTH, TRANSFER_ENCODING)]
     is_coded_in_http_1_0 = framing_fields == [TRANSFER_ENCODING] and head.http_version < b"1.1"
--- a/locktide/protocol/request_router.py
+++ b/locktide/protocol/request_router.py
@@ -1,4 +1,4 @@
-"""Determines the message that a request is by its method and path."""
+"""Determines, by method and path, which kind of message a request is."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         self._keeps_jobs = keeps_jobs
 
     def parse(self, head: h11.Request, body: bytearray, has_unparsed_bytes: bool) -> AcceptedMessage:
-        """Return the message that a request is.
+        """Return the message that a request contains.
 
         Args:
             head: Request line and header fields as received.
--- a/locktide/protocol/server_connection.py
+++ b/locktide/protocol/server_connection.py
@@ -12,7 +12,7 @@
     ERROR         SEND_RESPONSE   the body is not HTTP
     any           MUST_CLOSE      the response said "Connection: close": nothing follows
 
-ERROR is a special case: h11 parses nothing more, but one response may be sent, which says what was wrong.
+ERROR is a special case: h11 parses no further bytes, but one response may be sent, which states the error.
 This response is always the last on its connection, as it is not known where the next message begins.
 """
 
@@ -63,7 +63,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no byte was fed of a message that is still without a response."""
+        """Whether every message of which bytes were fed has its response."""
         return self._machine.their_state is h11.IDLE and not self.unparsed_bytes
 
     @property
@@ -73,7 +73,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """How many bytes are stored of a message that is not complete."""
+        """How many bytes of an incomplete message are stored."""
         return len(self._body) + self.unparsed_bytes
 
     def expects_continue(self) -> bool:
@@ -96,7 +96,7 @@
             return BadRequest(_rejection_status(error), str(error))
 
     def _read_message(self) -> AcceptedMessage | None:
-        """Return as `next_message`; raise RejectedMessageError or h11.RemoteProtocolError."""
+        """Return what `next_message` returns; raise RejectedMessageError or h11.RemoteProtocolError."""
         while True:
             event = self._machine.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED:
@@ -124,8 +124,8 @@
         """Return the response to the latest message, in pieces; a final response closes the connection."""
         self.is_final = self.is_final or is_final
         if self._machine.our_state not in RESPONSE_STATES:
-            # The exchange already has its response, or the connection closes after it: the peer would read
-            # another response as that to its next request.
+            # The exchange already has its response, or the connection closes after it: the peer would take
+            # another response for the response to its next request.
             self.is_final = True
             return []
         pieces = self._send(
--- a/locktide/protocol/submissions.py
+++ b/locktide/protocol/submissions.py
@@ -27,8 +27,9 @@
 #: The units of a timeout on the wire.
 MICROSECONDS_BY_UNIT = {"m": MICROSECONDS_PER_MILLISECOND, "u": 1}
 
-#: Longest timeout of a request, as a multiple of that of its service class. Clients wait for less than twice
-#: the latter; a request with a timeout of years would occupy its place in the queue for good.
+#: Longest timeout of a request, as a multiple of the timeout of its service class. Clients wait for less than
+#: twice the timeout of the class; a request with a timeout of years would occupy its place in the queue for
+#: good.
 MAX_TIMEOUT_FACTOR = 10
 
 #: Width of a request that states none, in slots.
