--- a/locktide/config/__init__.py
+++ b/locktide/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: the only place where it is read, checked and given defaults."""
+"""Reads and checks the configuration and sets its defaults; no other package does."""
--- a/locktide/config/installation/loading.py
+++ b/locktide/config/installation/loading.py
@@ -14,7 +14,7 @@
     """Return the installation of a file.
 
     Raises:
-        ConfigFileError: the file cannot be read or has faults, of which it names all.
+        ConfigFileError: the file cannot be read or has faults; the error names all of them.
     """
     return _validated(read_file(Installation, path))
 
--- a/locktide/config/installation/validation.py
+++ b/locktide/config/installation/validation.py
@@ -10,13 +10,16 @@
 from locktide.config.installation.document import Installation
 from locktide.config.installation.service_classes import ServiceClassSection
 
-#: Most tenants of a cluster, as one datagram carries the shares, the demand and the loans of all of them.
+#: Maximum number of tenants of a cluster, as one datagram carries the shares, the demand and the loans of all
+#: of them.
 MAX_CLUSTER_TENANTS = 50
-#: Most of a resource that one slot may need: the largest amount in a datagram of the fairness ledger.
+#: Maximum amount of a resource that one slot may need: the largest amount in a datagram of the fairness
+#: ledger.
 MAX_RESOURCE_NEED = 1e9
-#: Least duration of a lease, in report intervals; with a shorter one a single late report would end it.
+#: Minimum duration of a lease, in report intervals; a single late report would end a shorter lease.
 MIN_REPORTS_PER_LEASE = 2
-#: The path under which clients query durable jobs; no service class may have this name while these are on.
+#: The path under which clients query durable jobs; no service class may have this name if durable jobs
+#: are enabled.
 JOBS_PATH = "jobs"
 
 
--- a/locktide/config/start.py
+++ b/locktide/config/start.py
@@ -50,7 +50,7 @@
         memory: how much memory the process may take, in bytes.
         cached_endpoints: the endpoint list from before the start, as decoded JSON in the form of discovery.
         connect_within: how long connecting to a worker may take, in microseconds.
-        idle_close: after what idle time workers close a connection, in microseconds.
+        idle_close: the idle time after which workers close a connection, in microseconds.
         scheduler_config: the configuration of the scheduler.
     """
 
