--- a/locktide/bench_adapter/decoding.py
+++ b/locktide/bench_adapter/decoding.py
@@ -137,7 +137,7 @@
 
 
 def ignore_peer_message(_fields: Fields) -> None:
-    """Ignore a message of another dispatcher: schedulers here send none that would be answered."""
+    """Ignore a message of another dispatcher: the schedulers here exchange no messages."""
 
 
 EVENT_DECODERS: Mapping[str, EventDecoder] = {
