--- a/locktide/dispatcher/background_tasks.py
+++ b/locktide/dispatcher/background_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks that carry attempts and cancellations."""
+"""The tasks that run attempts and cancellations."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         return len(self._tasks)
 
     def start(self, work: Coroutine[Any, Any, None], background: bool = False) -> asyncio.Task[None]:
-        """Run `work` in a task; a shutdown does not wait for it where it is for a background request."""
+        """Run `work` in a task; a shutdown does not wait for it if it is for a background request."""
         task: asyncio.Task[None] = asyncio.create_task(work)
         self._tasks[task] = background
         task.add_done_callback(self._tasks.pop)
--- a/locktide/dispatcher/callbacks.py
+++ b/locktide/dispatcher/callbacks.py
@@ -49,8 +49,8 @@
         self, request: OpenRequest, attempt: OpenAttempt, outcome: AttemptOutcome
     ) -> None:
         # A worker repeats a callback whose 204 was lost. If the worker had accepted an earlier attempt of
-        # this request, the callback may be about that one: taken for the end of the later attempt, it would
-        # allow a retry while that attempt still runs
+        # this request, the callback may be about the earlier one. If it were taken for the end of the later
+        # attempt, a retry would be allowed while the later attempt still runs
         # (test_repeated_callback_about_an_earlier_attempt_does_not_end_the_later_one_there).
         if request.worker_accepted_earlier_attempt(attempt):
             self.cancellations.cancel_and_finish(request, attempt, AttemptOutcome.CONNECTION_CLOSED)
--- a/locktide/dispatcher/cancellation.py
+++ b/locktide/dispatcher/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancels attempts: one that its worker may have ends only once the worker is notified."""
+"""Cancels attempts; an attempt that its worker may have received ends only once the worker is notified."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
 
         The new process does not have these attempts, and a callback that reports their loss may never come:
         the request would wait until its deadline and occupy its slots. The restart alone does not end them,
-        because the endpoint list may show it while the old process still runs: a job that was sent to another
-        worker then was a second copy. So the new process has to confirm the cancellation first
+        because the endpoint list may show it while the old process still runs: a retry at another
+        worker was then a second copy. So the new process has to confirm the cancellation first
         (test_attempt_sent_before_its_worker_restarted_is_cancelled_and_a_later_one_is_not).
 
         Args:
--- a/locktide/dispatcher/endpoint_follower.py
+++ b/locktide/dispatcher/endpoint_follower.py
@@ -21,8 +21,8 @@
 #: Seconds that a start waits for the first list: an agent on the same machine responds within milliseconds.
 FIRST_LIST_TIMEOUT = 0.5
 #: A polled call may wait for its turn at the agent for this fraction of the time within which a change has to
-#: be known. A call that is given up sooner has caused work for nothing; one that has no response by then was
-#: not received.
+#: be known. A call that is given up sooner has caused work for nothing; a call that has no response by then
+#: was not received.
 POLL_WAIT_FRACTION = 0.5
 
 
@@ -47,7 +47,7 @@
     is_stopped: bool = False
 
     def start(self) -> None:
-        """Follow the list from now on; a list that is polled, only once the scheduler requests it."""
+        """Follow the list from now on, or once the scheduler requests it if the list is polled."""
         self.watch(self.follow_when_requested() if self.settings.endpoint_list.polled else self.follow())
 
     def restart(self) -> None:
@@ -91,7 +91,7 @@
     async def wait_for_first_list(self) -> None:
         """Wait for the first list, for a limited time; do not wait if the list is polled.
 
-        What the agent has counts as notified from the first moment of the process. A silent agent does not
+        Changes that the agent has count as notified from the start of the process. A silent agent does not
         delay the start for long: only the cached list is available then.
         """
         if self.settings.endpoint_list.polled:
--- a/locktide/dispatcher/service.py
+++ b/locktide/dispatcher/service.py
@@ -37,7 +37,7 @@
         cached_list: The cached endpoint list.
         log: The log.
         read_start: Reads the settings anew at SIGHUP; may raise ConfigError.
-        attach: Functions that attach a service each, before the dispatcher serves; an exception ends the
+        attach: Functions that each attach one service, before the dispatcher serves; an exception ends the
             start.
     """
     block_signals()
--- a/locktide/dispatcher/shutdown.py
+++ b/locktide/dispatcher/shutdown.py
@@ -15,8 +15,8 @@
 
 #: Seconds after SIGTERM in which connections are still accepted: clients open new ones for 0.4 s.
 ACCEPT_AFTER_STOP = 0.5
-#: The process is killed no sooner after SIGTERM than the smaller of this and the longest timeout, in seconds,
-#: plus `SHUTDOWN_EXTRA`.
+#: The process has at least this time after SIGTERM, or the longest timeout if that is shorter, plus
+#: `SHUTDOWN_EXTRA`, before it is killed; in seconds.
 SHUTDOWN_TIMEOUT = 3.0
 #: See `SHUTDOWN_TIMEOUT`, in seconds. Requests that arrive within `ACCEPT_AFTER_STOP` may still be open at
 #: the kill; later ones are not, as their deadlines are limited.
@@ -39,7 +39,7 @@
     async def run(self) -> None:
         """Wait until the accepted work is done, however long that takes.
 
-        There is no timeout: giving up what is still open would lose no less than a kill does.
+        There is no timeout: giving up work that is still open would lose at least as much as a kill does.
         """
         loop = self.runtime.loop
         began_at = loop.time()
--- a/locktide/dispatcher/signals.py
+++ b/locktide/dispatcher/signals.py
@@ -1,4 +1,4 @@
-"""Blocks the signals of a dispatcher while it has no handlers, so that none ends the process.
+"""Blocks the signals of a dispatcher while it has no handlers, so that no signal ends the process.
 
 Imports only the standard library's `signal`, as it is called before every other import.
 """
@@ -15,8 +15,8 @@
     """Block the signals of a dispatcher; a signal that arrives meanwhile waits for `unblock_signals`.
 
     Without a handler each of them ends the process at once: a reload right after a start, before the event
-    loop ran, was a crash, and a second SIGTERM after the loop was closed turned an orderly exit into one by
-    signal. Blocked signals wait in the kernel. A thread inherits the mask of its creator.
+    loop ran, ended the process, and a second SIGTERM after the loop was closed turned an orderly exit into an
+    exit by signal. Blocked signals wait in the kernel. A thread inherits the mask of its creator.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
