--- a/locktide/cli/serve.py
+++ b/locktide/cli/serve.py
@@ -31,7 +31,7 @@
 def enabled_services(
     installation: Installation, log: Log
 ) -> list[Callable[[Dispatcher], Awaitable[AttachedService]]]:
-    """Return what attaches each service that the file enables; one that is off is not even imported."""
+    """Return a function for each enabled service that attaches it; a disabled service is not imported."""
     attach_functions: list[Callable[[Dispatcher], Awaitable[AttachedService]]] = []
     if installation.cluster.enabled:
         from locktide.cluster.bootstrap import start_cluster_member  # noqa: PLC0415
