--- a/locktide/scheduler/config.py
+++ b/locktide/scheduler/config.py
@@ -114,8 +114,8 @@
         window: the length of that window, in microseconds.
         initial_capacity: capacity of a worker at its start, as a fraction of that of a warm worker.
         warmup: time from its start until a worker is warm, in microseconds; 0: it starts warm.
-        margin: the fraction of that limit that all dispatchers together may plan to send; below 1 to allow
-            for random variation of run times and draws.
+        margin: the fraction of the load allowed by `overload_factor` that all dispatchers together may plan
+            to send; below 1 to allow for random variation of run times and draws.
     """
 
     overload_factor: float
--- a/locktide/scheduler/estimators/run_time.py
+++ b/locktide/scheduler/estimators/run_time.py
@@ -54,7 +54,7 @@
         """Return the run time from which a run is unusually long."""
         mean = self.mean(now)
         count = self._count.read(now)
-        # Read even if it is not used, as each reading affects the rounding of the later decay.
+        # The sum is read even if its value is not used, as each read affects the rounding of the later decay.
         squares = self._squares.read(now)
         if count < FEWEST_FOR_DEVIATION:
             return NEVER_LONG
--- a/locktide/scheduler/policy/concurrency_limit.py
+++ b/locktide/scheduler/policy/concurrency_limit.py
@@ -7,9 +7,9 @@
   flight there.
 - An endpoint has no capacity while an attempt of ours there is late to start, or shortly after it was full or
   refused a connection.
-- A prompt start of an attempt that filled the limit raises the limit. A late start lowers it. So does an
-  attempt that ends without a start and without a result, even if we cancelled it, unless its start would
-  still have been prompt at that time.
+- A prompt start of an attempt that filled the limit raises the limit. A late start lowers the limit. An
+  attempt that ends without a start and without a result also lowers it, even if we cancelled the attempt,
+  unless its start would still have been prompt at that time.
 - The limit has a minimum, which depends on our even share of the endpoint. Under a limit of one slot we also
   pause between two requests to the endpoint, so that on average our slots in flight there equal the limit.
 """
--- a/locktide/scheduler/policy/retries.py
+++ b/locktide/scheduler/policy/retries.py
@@ -51,7 +51,7 @@
         """Cancel an overdue attempt if a retry is allowed and worthwhile.
 
         Returns:
-            Whether only the retry budget prevented it, so that a later check may succeed.
+            Whether only the retry budget prevented the cancellation, so that a later check may succeed.
         """
         request = attempt.request
         must_stay = not request.is_idempotent and not is_presumed_lost
