--- a/locktide/config/installation/loading.py
+++ b/locktide/config/installation/loading.py
@@ -20,7 +20,7 @@
 
 
 def parse_installation(text: str) -> Installation:
-    """Return the installation of a file's text; otherwise as `load_installation`."""
+    """Return the installation of a file's text; raise as `load_installation` does."""
     return _validated(read_text(Installation, text, "installation"))
 
 
--- a/locktide/config/start.py
+++ b/locktide/config/start.py
@@ -88,7 +88,7 @@
 def start_from_document(
     document: JsonObject, environment: Mapping[str, str], *, is_reload: bool = False
 ) -> Start:
-    """Return the start configuration of a decoded start file; otherwise as `read_start`."""
+    """Return the start configuration of a decoded start file; the rules are those of `read_start`."""
     limits = document.object(StartKey.LIMITS, {})
     settings = document.object(StartKey.SETTINGS)
     ceilings = settings.object(SettingsKey.CEILINGS, {})
