--- a/locktide/dispatcher/cancellation_delivery.py
+++ b/locktide/dispatcher/cancellation_delivery.py
@@ -15,7 +15,8 @@
 from locktide.transport.units import MICROSECONDS_PER_SECOND
 
 #: Number of sends of a cancellation that follow one another without a delay. Idle connections to a worker
-#: often break together, so the second send uses a new connection; the third is for a new one that breaks.
+#: often break together, so the second send uses a new connection. The third send is for the case that this
+#: new connection breaks.
 IMMEDIATE_SENDS = 3
 #: Timeout of a send on a new connection, in connect timeouts: one to connect, one for the reply.
 NEW_CONNECTION_TIMEOUTS = 2
@@ -56,8 +57,8 @@
         A worker counts as notified once it has replied, or once the whole message is sent on a connection
         that was opened for it: the worker is reachable then, and reads the message before it continues its
         work. Silence proves nothing on an idle connection, whose process may be gone, nor on a connection
-        that was not established: retries that relied on it were second copies. An obsolete cancellation is
-        not sent again after the immediate sends.
+        that was not established: retries that relied on silence were second copies. An obsolete cancellation
+        is not sent again after the immediate sends.
         """
         connect_timeout = self.settings.connect_within / MICROSECONDS_PER_SECOND
         send_count = 0
