--- a/locktide/config/installation/loading.py
+++ b/locktide/config/installation/loading.py
@@ -14,13 +14,13 @@
     """Return the installation of a file.
 
     Raises:
-        ConfigFileError: the file cannot be read or has faults, of which it names all.
+        ConfigFileError: the file cannot be read or has faults; the error names all of them.
     """
     return _validated(read_file(Installation, path))
 
 
 def parse_installation(text: str) -> Installation:
-    """Return the installation of a file's text; otherwise as `load_installation`."""
+    """Return the installation of a file's text; raise as `load_installation` does."""
     return _validated(read_text(Installation, text, "installation"))
 
 
--- a/locktide/config/start.py
+++ b/locktide/config/start.py
@@ -50,7 +50,7 @@
         memory: how much memory the process may take, in bytes.
         cached_endpoints: the endpoint list from before the start, as decoded JSON in the form of discovery.
         connect_within: how long connecting to a worker may take, in microseconds.
-        idle_close: after what idle time workers close a connection, in microseconds.
+        idle_close: the idle time after which workers close a connection, in microseconds.
         scheduler_config: the configuration of the scheduler.
     """
 
@@ -88,7 +88,7 @@
 def start_from_document(
     document: JsonObject, environment: Mapping[str, str], *, is_reload: bool = False
 ) -> Start:
-    """Return the start configuration of a decoded start file; otherwise as `read_start`."""
+    """Return the start configuration of a decoded start file; the rules are those of `read_start`."""
     limits = document.object(StartKey.LIMITS, {})
     settings = document.object(StartKey.SETTINGS)
     ceilings = settings.object(SettingsKey.CEILINGS, {})
