--- a/locktide/cluster/borrowing/lender.py
+++ b/locktide/cluster/borrowing/lender.py
@@ -26,7 +26,7 @@
         used_rate: the decaying peak of its demand, in millionths of a token a second.
         used_rate_at: when that peak was last updated.
         reclaimed_at: when its loans were last reclaimed.
-        lends_again_at: until when it lends nothing after it was reclaimed.
+        lends_again_at: when it may lend again after it was reclaimed.
         retained: how much of the whole is not planned to be lent, in millionths.
     """
 
@@ -40,7 +40,7 @@
     retained: int = WHOLE
 
     def record_rate(self, rate: int, now: int) -> None:
-        """Update the peak with the rate of its current demand."""
+        """Update the peak with the rate of the quota's current demand."""
         elapsed = min(PEAK_HALF_LIFE, now - self.used_rate_at)
         decayed_peak = self.used_rate - self.used_rate * elapsed // (2 * PEAK_HALF_LIFE)
         self.used_rate = max(rate, decayed_peak)
@@ -53,11 +53,11 @@
         self.retained = WHOLE
 
     def is_reclaiming(self, now: int) -> bool:
-        """Return whether it was reclaimed so recently that it still lends nothing."""
+        """Return whether the quota was reclaimed so recently that it still lends nothing."""
         return now < self.lends_again_at
 
     def lendable_share(self, lent_fraction: int, now: int) -> int:
-        """Return how much of its whole may be lent: `lent_fraction` of the unused part, all in millionths."""
+        """Return how much of the quota may be lent: `lent_fraction` of the unused part, all in millionths."""
         if self.is_reclaiming(now) or not self.rate:
             return 0
         needed = HEADROOM * self.used_rate * WHOLE // self.rate
--- a/locktide/cluster/borrowing/loan_allocator.py
+++ b/locktide/cluster/borrowing/loan_allocator.py
@@ -15,9 +15,10 @@
 from locktide.cluster.quota.token_bucket import MICROSECONDS_PER_SECOND, UNITS_PER_TOKEN
 from locktide.cluster.quota.types import Loans, QuotaDemand, QuotaShares
 
-#: Smallest part of its whole that a lender lends, in millionths: less is not worth the cost of its leases.
+#: Smallest lendable part of a quota, in millionths of the whole: a smaller part is not worth the cost of
+#: its leases.
 MIN_LOAN = 20_000
-#: Ratio of demand to whole above which a quota is short, as numerator and denominator.
+#: Ratio of demand to the whole rate above which a quota is short, as numerator and denominator.
 SHORT_RATIO = (21, 20)
 #: How many request intervals of demand a report covers while demand is steady: the count of the last interval
 #: plus half of the previous report, which is as large as this one.
@@ -41,7 +42,7 @@
     Attributes:
         lent_fraction: how much of an unused part may be lent, in millionths.
         lenders: the state of each quota that may be lent.
-        planned_loans: the loans of the last plan, in millionths of the lender's whole.
+        planned_loans: the loans of the last plan, in millionths of the whole lending quota.
     """
 
     def __init__(self, rates: Rates, divisible: QuotaShares, lent_fraction: int, now: int) -> None:
@@ -129,7 +130,7 @@
     def _shortfalls(
         self, demanded: Rates, lending: set[QuotaIndex], borrowing_order: list[QuotaIndex]
     ) -> Rates:
-        """Return the shortfall of each short quota, its demand less its whole, in the order of borrowing."""
+        """Return the shortfall of each short quota, its demand less its rate, in the order of borrowing."""
         numerator, denominator = SHORT_RATIO
         short = {
             quota: demanded[quota] - lender.rate
--- a/locktide/cluster/dispatcher_link.py
+++ b/locktide/cluster/dispatcher_link.py
@@ -11,8 +11,8 @@
 from locktide.scheduler.events import ConfigReloaded, QuotaSharesUpdated, QuotaStage, RequestArrived
 
 #: How long the scheduler treats a tenant as over its fair share after an update, and how long until the next
-#: update while a tenant is over its share, in microseconds. An update expires so that a member that is stuck
-#: does not hold a tenant back for good.
+#: update while a tenant is over its share, in microseconds. An update expires, so that a member that hangs
+#: does not leave a tenant marked as over its share for good.
 OVER_SHARE_VALIDITY = 5_000_000
 OVER_SHARE_REFRESH = OVER_SHARE_VALIDITY // 2
 #: Later than any time of any clock, in microseconds.
--- a/locktide/cluster/election/__init__.py
+++ b/locktide/cluster/election/__init__.py
@@ -16,7 +16,7 @@
   it does not answer for `lifetime_at_grantor(duration)`, after which any lease that it may have helped to
   grant has expired at its owner.
 - Messages that are lost, late, duplicated or reordered can only prevent an election: each answer names the
-  ballot that it answers, and ballots are never reused, as they hold the proposer's name and generation.
+  ballot that it answers, and ballots are never reused, as they contain the proposer's name and generation.
 
 Liveness is probable, not certain: the times at which proposers begin a ballot are random.
 
--- a/locktide/cluster/election/acceptor.py
+++ b/locktide/cluster/election/acceptor.py
@@ -15,7 +15,7 @@
 
 
 class Acceptor:
-    """One vote in the election of the leader. Times are microseconds of its own clock.
+    """A voter in the election of the leader. Times are microseconds of its own clock.
 
     Attributes:
         lease_duration: how long a lease counts here, in microseconds; longer than at its owner.
--- a/locktide/cluster/fairness/anti_entropy.py
+++ b/locktide/cluster/fairness/anti_entropy.py
@@ -2,7 +2,7 @@
 
 Several times a second each member sends its digest to two others. A member whose digest differs answers with
 the version up to which it has read each writer, a page of writers at a time, and is sent the rows that it
-lacks in the order of versions. Two things differ from the source: a delta states which version it follows, so
+lacks in the order of versions. Two points differ from the source: a delta states which version it follows, so
 that a lost or late datagram leaves no gap; and closed writers are exchanged along with the versions.
 
 Source: van Renesse, Dumitriu, Gough and Thomas, "Efficient reconciliation and flow control for anti-entropy
@@ -42,7 +42,7 @@
     cursor: str = ""
 
     def opening_digest(self) -> Message:
-        """Return a message with the digest alone; mostly the receiver's is equal, and no answer is needed."""
+        """Return a message with the digest alone; usually the receiver has the same and sends no answer."""
         return Digest(
             schema_checksum=self.schema_checksum,
             digest=self.replica.digest,
--- a/locktide/cluster/fairness/delta_packer.py
+++ b/locktide/cluster/fairness/delta_packer.py
@@ -13,7 +13,7 @@
 
 
 class DeltaPacker:
-    """Takes rows by writer, in the order of versions; a writer's rows may be split over datagrams.
+    """Packs rows by writer, in the order of versions; a writer's rows may be split over datagrams.
 
     Attributes:
         schema_checksum: checksum of the names of tenants and resources.
--- a/locktide/cluster/fairness/dominant_share.py
+++ b/locktide/cluster/fairness/dominant_share.py
@@ -1,7 +1,7 @@
 """Dominant shares, and fair shares by weighted progressive filling over finite demands.
 
 All arithmetic is on integers, so that members with the same rows compute exactly the same result. Three
-things differ from the paper: demands are finite, tenants have weights, and the shares of tenants that need
+points differ from the paper: demands are finite, tenants have weights, and the shares of tenants that need
 nothing of an exhausted resource continue to rise.
 
 Source: Ghodsi, Zaharia, Hindman, Konwinski, Shenker and Stoica, "Dominant resource fairness: fair allocation
@@ -18,7 +18,10 @@
 
 
 def dominant_share(amounts: Vector, capacity: Vector) -> int:
-    """Return the largest share of any resource, rounded up; use of one without capacity is a full share."""
+    """Return the largest share of any resource, rounded up.
+
+    Use of a resource without capacity counts as a full share.
+    """
     return max([share_of(amount, whole) for amount, whole in zip(amounts, capacity, strict=False)], default=0)
 
 
@@ -90,7 +93,7 @@
         self.rising = {tenant for tenant in self.rising if self.levels[tenant] < self.wanted[tenant]}
 
     def _rates(self) -> list[int]:
-        """Return how much of each resource rising tenants take for a unit of level, times `FULL_SHARE`."""
+        """Return how much of each resource rising tenants use per unit of level, times `FULL_SHARE`."""
         return [
             sum(
                 self.weights[tenant] * self.shares[tenant][resource] * FULL_SHARE // self.wanted[tenant]
@@ -110,7 +113,7 @@
         return min([*until_exhausted, *until_met])
 
     def _exhaust_remainders(self, rates: list[int]) -> None:
-        """Count a resource as exhausted if less of it is left than a unit of level takes."""
+        """Count a resource as exhausted if less of it is left than a unit of level uses."""
         for resource, rate in enumerate(rates):
             if rate and self.left[resource] * FULL_SHARE < rate:
                 self.left[resource] = 0
--- a/locktide/cluster/member.py
+++ b/locktide/cluster/member.py
@@ -1,8 +1,8 @@
 """One cluster member without I/O: its inputs are messages and the time, its outputs messages and updates.
 
 A host calls `handle` with each message that arrives and `tick` at `next_wakeup`, and sends the messages that
-they return. After each call `update` holds the changes. All times are whole microseconds of one clock of the
-host.
+they return. After each call `update` contains the changes. All times are whole microseconds of one clock
+of the host.
 """
 
 from __future__ import annotations
@@ -210,8 +210,8 @@
         revoked; so `next_wakeup` may be earlier after this call.
 
         Returns:
-            The quota from which the token was taken: that one, or one that lends to it. None if no token was
-            available.
+            The quota from which the token was taken: `name`, or a quota that lends to `name`. None if no
+            token was available.
         """
         return self.quota_client.spend(name, now)
 
@@ -229,7 +229,7 @@
     # --- sending, and the end of each step
 
     def _address_to(self, name: str, message: Message) -> Outgoing:
-        """Return a message with the member's address; keep one to this member for the end of the step.
+        """Return a message with the receiver's address; keep one to this member itself until the step ends.
 
         The address of an acceptor is the configured one, even if another process claims its name.
         """
--- a/locktide/cluster/membership/partition_healing.py
+++ b/locktide/cluster/membership/partition_healing.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SupersededNotice:
-    """A notice to an earlier process of a name that a later one runs.
+    """Notifies an earlier process that a later process of its name runs.
 
     Attributes:
         address: the address of the earlier process.
@@ -53,7 +53,7 @@
     def records_to_refute(self, envelope: Envelope) -> list[MemberRecord]:
         """Return our record of a sender if the sender should refute it.
 
-        That is a record of a suspected or dead member, or of another generation.
+        Such a record states that the sender is suspected or dead, or that it has another generation.
         """
         record = self.table.records.get(envelope.sender)
         if record is None:
--- a/locktide/cluster/membership/swim.py
+++ b/locktide/cluster/membership/swim.py
@@ -30,7 +30,7 @@
 #: missed, also after a partition.
 FULL_SYNC_INTERVAL = 10_000_000
 #: Relayed probes that are kept. Without a limit, members that request probes without end would fill the
-#: memory. A probe that is unanswered when that many have been relayed will not be answered any more.
+#: memory. A probe that is still unanswered after that many later ones will not be answered any more.
 MAX_RELAYED_PROBES = 256
 #: Members that are notified when this one leaves; gossip notifies the others.
 LEAVE_NOTICES = 2 * INDIRECT_PROBES
@@ -139,7 +139,7 @@
         """Merge a page of records, and reply with all of ours if a reply is wanted."""
         for record in sync.records:
             self.view.merge(record, now, envelope.sender)
-        # A notice to a superseded process wants no reply, and is not answered with another notice: two
+        # A notice to a superseded process requests no reply, and is not answered with another notice: two
         # superseded processes would answer each other forever.
         if not sync.reply_wanted:
             return []
@@ -228,7 +228,7 @@
         if probe.is_acked:
             self.view.health.adjust(-1)
             return
-        # If relays are silent as well, it is more likely this member that does not receive messages.
+        # If relays are silent as well, this member itself is probably the one that receives no messages.
         is_local_fault = probe.is_indirect and bool(probe.silent_relays)
         self.view.health.adjust(len(probe.silent_relays) if is_local_fault else +1)
         record = self.view.table.records.get(probe.target)
--- a/locktide/cluster/membership/view.py
+++ b/locktide/cluster/membership/view.py
@@ -73,7 +73,7 @@
         return self.gossip.take(len(self.table.alive()))
 
     def merge(self, record: MemberRecord, now: int, accuser: str) -> None:
-        """Merge a record that `accuser` sent, which is this member itself for its own conclusions."""
+        """Merge a record from `accuser`: its sender, or this member if it concluded the state itself."""
         if record.name == self.member_id[0]:
             self.merge_own(record, now)
             return
@@ -110,7 +110,8 @@
         """Merge another member's record of this member.
 
         A suspicion is refuted by a higher incarnation. A record of an earlier generation of this member's
-        name is superseded by its own; one of a later generation shows that this member is superseded.
+        name is superseded by this member's own record; a record of a later generation shows that this member
+        is superseded.
         """
         own = self.own_record
         if record.generation > own.generation:
--- a/locktide/cluster/messages.py
+++ b/locktide/cluster/messages.py
@@ -31,7 +31,8 @@
 #: Index of a quota among the sorted names of all quotas. Members whose checksums of the names are equal have
 #: equal indices. Fifty quotas and the loans between them fit one datagram.
 QuotaIndex = Annotated[int, Meta(ge=0, le=255)]
-#: A loan: the lending quota, the borrowing quota, and the amount in millionths of the lender's whole.
+#: A loan: the lending quota, the borrowing quota, and the amount in millionths of the whole
+#: lending quota.
 LoanTriple = tuple[QuotaIndex, QuotaIndex, Millionths]
 
 
@@ -144,9 +145,9 @@
 class LeaseRequest(Message, tag="Ask"):
     """A member's request for leases, with its current leases and its demand.
 
-    `held_shares` and `loans` are in force by grant `seq` of `held_term`; `demand` is by quota, in the unit of
-    the quota. `names_checksum` is the checksum of the sorted names of the quotas, which determine their
-    indices.
+    `held_shares` and `loans` are the leases in force, from grant `seq` of term `held_term`; `demand` is by
+    quota, in the unit of the quota. `names_checksum` is the checksum of the sorted names of the quotas, which
+    determine their indices.
     """
 
     term: Ballot
@@ -163,7 +164,7 @@
 class LeaseGrant(Message, tag="Grant"):
     """The answer to the lease request of that number; its leases count from when the request was sent.
 
-    `more_expected` means that the member should get more once others have given it back.
+    `more_expected` means that the member should get more once other members have returned some of theirs.
     """
 
     term: Ballot
@@ -199,7 +200,8 @@
 class WriterDelta(msgspec.Struct, array_like=True):
     """Rows of one writer in the order of versions.
 
-    They are all its current rows with versions after `after_version`, up to the last row that is listed.
+    No row is left out: the list has each current row of the writer with a version after `after_version` and
+    up to that of the last row in the list.
     """
 
     name: str
--- a/locktide/cluster/quota/account.py
+++ b/locktide/cluster/quota/account.py
@@ -20,7 +20,7 @@
         shares: the shares that were granted.
         loans: the loans that were granted.
         shares_until: when the shares stop counting.
-        loans_until: when the loans stop counting, which is no later.
+        loans_until: when the loans stop counting; never later than `shares_until`.
     """
 
     seq: int
@@ -58,8 +58,8 @@
         demand: the demand that the member reported.
         confirmed: the grant that the member reported to hold.
         unconfirmed: a later grant, which the member has not reported yet.
-        stepped_at: when its shares last made a damped step.
-        counted: its worst case as included in the totals.
+        stepped_at: when its shares last changed by a damped step.
+        counted: its worst case, as it is included in the totals of `OutstandingGrants`.
     """
 
     request_number: int = 0
--- a/locktide/cluster/quota/allocation.py
+++ b/locktide/cluster/quota/allocation.py
@@ -15,7 +15,8 @@
 #: request interval apart. So a share reaches its target after a second, and a burst of a tenth of a second
 #: at one member does not take everything from the others.
 DAMPING = 0.7
-#: Smallest change of a share, as a fraction of an even share: each change costs the burst that moves with it.
+#: Smallest change of a share, as a fraction of an even share: each change can lose unspent tokens, as a
+#: share that shrinks drops them and a share that grows gets none.
 DEAD_BAND = 0.02
 
 
--- a/locktide/cluster/quota/allocator.py
+++ b/locktide/cluster/quota/allocator.py
@@ -54,7 +54,8 @@
 
     Attributes:
         divisible: how much of each quota is divided, in millionths of its whole.
-        guaranteed_minimum: each member's guaranteed part of every quota in addition, in the same unit.
+        guaranteed_minimum: each member's guaranteed part of every quota, which is not in `divisible`; in the
+            same unit.
         timing: durations of the leases.
     """
 
@@ -154,7 +155,7 @@
         self.grants.update(member_id, now)
 
     def _may_step(self, account: HolderAccount, now: int) -> bool:
-        """Return whether the member's shares may make a damped step now, and if so record that they do."""
+        """Return whether the member's shares may make a damped step now; if so, record the step."""
         if now < account.stepped_at + self.step_interval:
             return False
         account.stepped_at = now
@@ -211,7 +212,7 @@
     def _awaits_reclaim(
         self, member_id: MemberId, account: HolderAccount, shares: QuotaShares, now: int
     ) -> bool:
-        """Return whether the member should get more of a reclaimed quota once others have given it back."""
+        """Return whether the member should get more of a reclaimed quota once others have returned theirs."""
         if not self._may_grant_more(now):
             return False
         short: list[QuotaIndex] = []
--- a/locktide/cluster/quota/lease_holder.py
+++ b/locktide/cluster/quota/lease_holder.py
@@ -16,8 +16,8 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-#: Requests in one regular interval while the holder waits for more than it has: it is granted what others
-#: give back only with its next request.
+#: Requests in one regular interval while the holder waits for more than it has: the leader grants what
+#: others have returned only in answer to the holder's next request.
 WAITING_REQUESTS_PER_INTERVAL = 4
 #: Requests in one regular interval after a change of which the leader should know at once.
 URGENT_REQUESTS_PER_INTERVAL = 8
@@ -93,7 +93,7 @@
         return self.next_request_at
 
     def request_soon(self, now: int) -> None:
-        """Advance the next request, as the leader should know at once of demand that has begun."""
+        """Make the next request due sooner, as the leader should know at once of demand that has begun."""
         self.urgent_until = now + self.share_lease
         self._advance_request(now)
 
@@ -142,7 +142,7 @@
         interval = self.waiting_interval if grant.more_expected else self.request_interval
         self.next_request_at = self.requested_at + interval
         if _has_less(self.shares, previous_shares) or _has_less(self.loans, previous_loans):
-            # The leader grants to others what was given back only after this member has reported it.
+            # The leader grants returned leases to others only after this member has reported their return.
             self.next_request_at = min(self.next_request_at, now + self.urgent_interval)
         return True
 
--- a/locktide/cluster/quota/local_quota.py
+++ b/locktide/cluster/quota/local_quota.py
@@ -11,13 +11,13 @@
 from locktide.cluster.quota.allocation import WHOLE
 from locktide.cluster.quota.token_bucket import TokenBucket
 
-#: Shares by the name of the quota, in millionths of its whole.
+#: Shares by the name of the quota, in millionths of the whole quota.
 NamedShares = dict[str, int]
 #: Demand by the name of the quota, in tokens.
 NamedDemand = dict[str, int]
 #: The names of the lending and the borrowing quota.
 LoanNames = tuple[str, str]
-#: Loans, in millionths of the lender's whole.
+#: Loans, in millionths of the whole lending quota.
 NamedLoans = dict[LoanNames, int]
 
 
@@ -175,8 +175,8 @@
     def spend(self, name: str, now: int, tokens: int = 1) -> str | None:
         """Take tokens for a request of that quota.
 
-        Returns the name of the quota whose tokens were taken, that one or one that lends to it, or None if no
-        bucket had enough.
+        Returns the name of the quota whose tokens were taken: `name`, or a quota that lends to `name`.
+        Returns None if no bucket had enough tokens.
         """
         self.expire(now)
         bucket = self.buckets.get(name)
--- a/locktide/cluster/quota/quota_client.py
+++ b/locktide/cluster/quota/quota_client.py
@@ -59,7 +59,8 @@
     def spend(self, name: str, now: int) -> str | None:
         """Take one token for a request of a quota; request leases soon if it had no demand recently.
 
-        Returns the quota whose token was taken, that one or one that lends to it; None if there was none.
+        Returns the quota whose token was taken: `name`, or a quota that lends to `name`. Returns None if no
+        token was available.
         """
         if self.local_quota.record_demand(name):
             self.lease_holder.request_soon(now)
--- a/locktide/cluster/quota/token_bucket.py
+++ b/locktide/cluster/quota/token_bucket.py
@@ -3,7 +3,7 @@
 A token is a million units, so that all arithmetic is exact. A share that grows brings no tokens with it: the
 burst of the added part counts as spent, whichever member held that part before. A share that shrinks loses
 the tokens that the smaller bucket cannot hold. So over any span all members together spend at most the whole
-burst and the whole rate.
+burst plus what the whole rate produces in that span.
 """
 
 from __future__ import annotations
--- a/locktide/cluster/quota/types.py
+++ b/locktide/cluster/quota/types.py
@@ -6,7 +6,7 @@
 
 from locktide.cluster.messages import LoanTriple, Millionths, QuotaIndex
 
-#: Shares of quotas, in millionths of each quota's whole.
+#: Shares of quotas, in millionths of the whole quota.
 QuotaShares = dict[QuotaIndex, Millionths]
 #: How much of each quota is demanded, in the quota's own unit.
 QuotaDemand = dict[QuotaIndex, int]
@@ -19,7 +19,7 @@
     borrower: QuotaIndex
 
 
-#: Loans, in millionths of the lender's whole.
+#: Loans, in millionths of the whole lending quota.
 Loans = dict[LoanKey, Millionths]
 
 
--- a/locktide/cluster/udp_transport.py
+++ b/locktide/cluster/udp_transport.py
@@ -77,7 +77,7 @@
             self.send_and_report(self.member.handle(envelope, self.now()))
 
     def error_received(self, _: Exception) -> None:
-        """Ignore that nobody listens at an address any more: failure detection notices it."""
+        """Ignore that nobody listens at an address any more: failure detection notices the dead member."""
 
     def on_timer(self) -> None:
         """Call the member at its wakeup."""
