--- a/locktide/durable/completion.py
+++ b/locktide/durable/completion.py
@@ -86,7 +86,8 @@
     async def _write(self, record: JobFinished) -> bool:
         """Write a final response; return whether it is on the disk.
 
-        Until then no client and no worker gets a response, and a restart would resume or finish the job.
+        Until the final response is on the disk, no client and no worker gets a response, and a restart would
+        resume or finish the job.
         """
         try:
             await self.write_ahead_log.append(record)
--- a/locktide/durable/disk.py
+++ b/locktide/durable/disk.py
@@ -44,7 +44,7 @@
         """Remove a file, if it exists."""
 
     def acquire_lock(self) -> None:
-        """Lock the directory until this process ends or releases it; raise DirectoryInUseError."""
+        """Lock the directory until `release_lock` or the process ends; raise DirectoryInUseError."""
 
     def release_lock(self) -> None:
         """Release the lock and close all files."""
@@ -108,7 +108,7 @@
         self._sync_directory()
 
     def acquire_lock(self) -> None:
-        """Lock the directory until this process ends or releases it; raise DirectoryInUseError."""
+        """Lock the directory until `release_lock` or the process ends; raise DirectoryInUseError."""
         self.lock_descriptor = os.open(
             self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE
         )
--- a/locktide/durable/jobs.py
+++ b/locktide/durable/jobs.py
@@ -40,7 +40,7 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: JobSnapshot) -> Job:
-        """Return the job that a snapshot holds."""
+        """Return the job that a snapshot contains."""
         return cls(
             accepted=snapshot.accepted,
             leases=list(snapshot.leases),
--- a/locktide/durable/log/framing.py
+++ b/locktide/durable/log/framing.py
@@ -29,8 +29,8 @@
 #: Shortest payload, in bytes, that is searched for after a fault. The checksum of a shorter one matches by
 #: chance too easily.
 MIN_SEARCHED_PAYLOAD = 8
-#: Bytes that a disk writes completely or not at all. The sectors that an interrupted write did not reach read
-#: as zeros.
+#: Size in bytes of a sector, which a disk writes completely or not at all. The sectors that an
+#: interrupted write did not reach read as zeros.
 SECTOR = 512
 
 
--- a/locktide/durable/log/write_ahead_log.py
+++ b/locktide/durable/log/write_ahead_log.py
@@ -100,7 +100,7 @@
     def open(self, skip_damaged: bool = False) -> None:
         """Lock the directory, read the log and begin a new segment.
 
-        Raises LogOpenError, or OSError if the log cannot be read; no file has been changed then.
+        Raises LogOpenError, or OSError if the log cannot be read; in both cases no file has been changed.
         """
         self._storage.acquire_lock()
         try:
@@ -223,6 +223,9 @@
 
 
 async def wait_ignoring_write_error(write: asyncio.Future[None]) -> None:
-    """Wait for a write, ignore its failure: without the record recovery assumes more has run, never less."""
+    """Wait for a write, and ignore its failure.
+
+    Without the record, recovery assumes that more has run than really has, never less.
+    """
     with suppress(LogWriteError):
         await write
--- a/locktide/durable/recovery.py
+++ b/locktide/durable/recovery.py
@@ -1,4 +1,4 @@
-"""Plans for each open job after a crash whether to finish or to resume it. No I/O, no clock."""
+"""Decides for each open job after a crash whether to finish or to resume it. No I/O, no clock."""
 
 from __future__ import annotations
 
