--- a/locktide/simulation/backend.py
+++ b/locktide/simulation/backend.py
@@ -22,7 +22,7 @@
 
 
 class Backend(Protocol):
-    """What a scenario runner needs of a backend.
+    """The methods and values of a backend that a scenario runner uses.
 
     Times are whole microseconds since `begin`; all methods are called from the event loop.
     """
@@ -53,7 +53,7 @@
         """Reset a connection, as at the crash of its process."""
 
     def links_changed(self) -> None:
-        """Apply that links were cut or restored."""
+        """Apply the new state of the links after some were cut or restored."""
 
     def address(self, machine: Machine) -> str: ...
 
--- a/locktide/simulation/client_site.py
+++ b/locktide/simulation/client_site.py
@@ -75,7 +75,7 @@
     async def play_durable(self, request: ClientRequest) -> None:
         """Submit a durable job to one dispatcher until it is accepted, then poll there for its outcome.
 
-        An accepted job is lost if no outcome can be had within the time that it may take.
+        An accepted job counts as lost if no outcome is available within the time that the job may take.
         """
         host, runner = self.runner.host, self.runner
         homes = list(self.front.in_service)
@@ -133,7 +133,7 @@
         runner.durable_counts[state] += 1
         submission.ended = {"done": traffic.ANSWERED, "denied": traffic.DENIED}.get(state, traffic.TERMINATED)
         status = {"done": 200, "denied": 503}.get(state, 502)
-        # The job is only polled now and then: the time of the response is not the dispatcher's.
+        # The job is polled at intervals, so the response may be later than the dispatcher's outcome.
         runner.checker.answered(submission, min(host.now(), submission.limit_at), status, reply.body)
         if state == "done":
             request.answered_at = host.now()
@@ -256,7 +256,7 @@
         )
 
     def disconnect_noticed_at(self, submission: RequestTry) -> int:
-        """Return when the dispatcher knows at the latest that this client has disconnected."""
+        """Return the time by which the dispatcher surely knows that this client has disconnected."""
         now, there = self.runner.host.now(), self.runner.dispatchers[submission.dispatcher].machine
         if self.runner.links.cut(self.machine, there):
             return submission.limit_at
--- a/locktide/simulation/cluster/borrowing_runs.py
+++ b/locktide/simulation/cluster/borrowing_runs.py
@@ -1,4 +1,4 @@
-"""Measures what lending serves while most quotas are idle, and how soon returning owners have theirs again.
+"""Measures what lending serves while most quotas are idle, and how soon returning owners regain theirs.
 
 A run has five members in virtual time, and ten tenants of which six are idle. The demand of each of the other
 four is two and a half times its rate, most of it at two members. The result is compared with that of no
@@ -80,7 +80,7 @@
         self.due_requests = dict.fromkeys(self.request_rates, 0.0)
 
     def run(self, seconds: float) -> tuple[int, int, dict[str, list[int]]]:
-        """Run for a time; return how many requests were submitted and served, in all and of each tenant."""
+        """Run for a time; return how many requests were submitted and served, in total and by tenant."""
         cluster, submitted, served = self.cluster, 0, 0
         counts_by_tenant: dict[str, list[int]] = {}
         until = cluster.now + int(seconds * SECOND)
--- a/locktide/simulation/cluster/model_checking.py
+++ b/locktide/simulation/cluster/model_checking.py
@@ -2,7 +2,7 @@
 
 The search begins in a state in which one member leads and the others hold shares. Each step is one of these:
 time advances; a member ticks; a message in flight arrives, arrives and remains in flight (doubled), or is
-lost; a member dies and restarts with nothing. A member that does not tick for long is as one that is paused.
+lost; a member dies and restarts without its state. A member that does not tick for long is like a paused one.
 In every state the shares in force must not sum to more than the whole. Two states are the same if all that
 any member remembers is the same.
 """
@@ -37,7 +37,7 @@
 #: Durations in steps of time. A lease lasts for two requests, and its grantor counts it as two steps longer.
 LEADER_LEASE, SHARE_LEASE, RENEWAL_INTERVAL, REQUEST_INTERVAL = 4, 4, 2, 2
 TIMING = LeaseTiming(share_lease=SHARE_LEASE, request_interval=REQUEST_INTERVAL)
-#: Further messages are lost.
+#: Most messages that may be in flight; further messages are lost.
 MAX_MESSAGES_IN_FLIGHT = 5
 
 
@@ -75,7 +75,7 @@
         self.next_heartbeat = now
 
     def tick(self, now: int) -> list[tuple[str, Message]]:
-        """Do what is due; return the messages with their receivers."""
+        """Perform the work that is due; return the messages with their receivers."""
         outgoing: list[tuple[str, Message]] = []
         if self.proposer is not None:
             outgoing += self.proposer.tick(now)
@@ -225,12 +225,12 @@
 def search(
     max_states: int, max_restarts: int = 1, is_safe: Callable[[ModelState], bool] | None = None
 ) -> SearchResult:
-    """Search breadth first, until so many states or an unsafe one were found.
+    """Search breadth first, until `max_states` states or an unsafe one were found.
 
     Args:
         max_states: the number of states after which the search ends.
         max_restarts: how many restarts a path may have.
-        is_safe: whether a state is safe; by default, if the shares in force sum to the whole at most.
+        is_safe: whether a state is safe; by default it is if the shares in force sum to at most the whole.
     """
     is_safe = is_safe or (lambda state: state.total_shares() <= WHOLE)
     first = pickle.dumps(initial_state())
--- a/locktide/simulation/cluster/processes.py
+++ b/locktide/simulation/cluster/processes.py
@@ -42,8 +42,8 @@
 START_TIMEOUT_S = 20.0
 #: Time without faults at the end of a run, in seconds.
 QUIET_TIME_S = 8.0
-#: Its last part, in which no requests are submitted, in seconds. Requests that wait are given up after one
-#: second; two idle ones follow.
+#: Last part of the quiet time, in which no requests are submitted, in seconds. Requests that wait are given
+#: up after one second; two idle seconds follow.
 IDLE_TIME_S = 3.0
 
 
--- a/locktide/simulation/cluster/quota_checker.py
+++ b/locktide/simulation/cluster/quota_checker.py
@@ -1,9 +1,10 @@
 """Checks the quotas of a cluster from what its processes recorded; shares no code with what it checks.
 
-Recorded are what each process has in force, from when and until when; what it spends; and when it was killed.
-The shares in force at live processes must never sum to more than the whole of their quota, at any instant.
-And over any span, all processes together must not spend more than the burst and the rate of the whole quota.
-Times are microseconds of one clock that all processes share, shares are millionths of the whole quota.
+The records state what each process has in force, from when and until when; what it spends; and when it was
+killed. The shares in force at live processes must never sum to more than the whole of their quota, at any
+instant. And over any span, all processes together must not spend more than the burst and the rate of the
+whole quota. Times are microseconds of one clock that all processes share, shares are millionths of the whole
+quota.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
     """A quota that was exceeded.
 
     Attributes:
-        at: when.
+        at: when it was exceeded.
         budget: the name of the quota.
         what: what was exceeded, and by how much.
     """
@@ -60,7 +61,7 @@
         shares_until: when the lease of the shares expires, and the guaranteed minimum is in force instead;
             0 if there is no lease.
         guaranteed_minimum: its share of each quota without a lease.
-        loans: the loans in force, by owner and borrower; in millionths of the owner's whole.
+        loans: the loans in force, by owner and borrower; in millionths of the owner's whole quota.
         loans_until: when the loans expire.
     """
 
--- a/locktide/simulation/cluster/random_runs.py
+++ b/locktide/simulation/cluster/random_runs.py
@@ -64,7 +64,7 @@
         overruns: how often a quota was exceeded.
         first: the time, quota and description of the first overrun; empty if there is none.
         spent: how many tokens were spent.
-        borrowed: how many of them came out of loans.
+        borrowed: how many of them were taken from loans.
         returns: how many owners returned while some of their quota was lent.
         in_force: at the end, the shares of one quota in force as a fraction of those that may be; 1 if all
             are granted.
@@ -237,7 +237,7 @@
         """Run to the end, and return the outcome."""
         cluster = self.cluster
         cluster.call_at(0, self.submit_requests)
-        # Faults overlap. All are drawn three times as often as the last four.
+        # Faults overlap. Each of the others is drawn three times as often as each of the last four.
         for _ in range(self.random.randrange(4, 16)):
             cluster.call_at(
                 self.random.randrange(3 * SECOND, RUN_TIME - QUIET_TIME - SECOND),
--- a/locktide/simulation/cluster/skewed_demand.py
+++ b/locktide/simulation/cluster/skewed_demand.py
@@ -38,7 +38,7 @@
 
 
 def run(fault: str, seed: int) -> SkewResult:
-    """Run once with that fault, four seconds into the time that is counted."""
+    """Run once, with that fault four seconds after the counting of requests has begun."""
     names, quotas = [f"d{number}" for number in range(5)], (QuotaSpec("dairy", RATE, 5 * RATE),)
     cluster = VirtualCluster(seed, names, 5, 7, reserved_fraction=0.1, quotas=quotas)
     for name in cluster.names:
--- a/locktide/simulation/cluster/virtual_cluster.py
+++ b/locktide/simulation/cluster/virtual_cluster.py
@@ -71,7 +71,7 @@
         member: the cluster member under test.
         process_key: identifies the process at the checker.
         spent_tokens: tokens that it has spent.
-        borrowed_tokens: those of them that came out of a loan.
+        borrowed_tokens: those of them that were taken from a loan.
         latest_wakeup: the number of the tick that was scheduled last.
     """
 
@@ -122,7 +122,7 @@
         )
 
     def tick(self, wakeup_number: int = 0) -> None:
-        """Let the member do what is due, unless a later tick has been scheduled since."""
+        """Let the member perform the work that is due, unless a later tick has been scheduled."""
         if not self.alive or self.paused or wakeup_number != self.latest_wakeup:
             return
         if self.clock() >= self.member.next_wakeup:
--- a/locktide/simulation/cluster_report.py
+++ b/locktide/simulation/cluster_report.py
@@ -13,14 +13,14 @@
 from locktide.simulation.model.traffic import ClientRequest
 
 SECOND = 1_000_000
-RECLAIM_TIMEOUT = SECOND  # microseconds until all loans of a returning owner have to be over
+RECLAIM_TIMEOUT = SECOND  # microseconds within which all loans of a returning owner must end
 QUIET = 2.0  # seconds without traffic after which all fairness ledgers should be equal
 MIN_ABSENCE = 3 * SECOND  # microseconds without requests after which an owner counts as absent
 
 
 @dataclass(frozen=True)
 class QuotaTrace:
-    """The trace of one dispatcher process, and when it ended, by the clock of the trace; 0 if it did not."""
+    """The trace of one dispatcher process, and when that ended by the clock of the trace; 0 if it did not."""
 
     number: int
     lines: list[str]
--- a/locktide/simulation/compare.py
+++ b/locktide/simulation/compare.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass
 from math import sqrt
 
-# Two-sided 95% points of Student's t for 1 to 30 degrees of freedom; beyond, the normal one is close enough.
+# Two-sided 95% points of Student's t for 1 to 30 degrees of freedom; beyond, the normal distribution is
+# close enough.
 T95 = (
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PairedDifference:
-    """The mean of second less first, paired by seed, with its 95% confidence interval."""
+    """The mean of `second` minus `first`, paired by seed, with its 95% confidence interval."""
 
     count: int
     mean: float
--- a/locktide/simulation/fault_injector.py
+++ b/locktide/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario: draws the targets of each once, then begins and ends each in its time."""
+"""Injects the faults of a scenario: draws the targets of each once, then begins and ends each at its time."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from locktide.simulation.model.worker import SharedCapacity
 from locktide.simulation.worker_site import WorkerSite
 
-# In a planned restart, a dispatcher that has not ended so many seconds after SIGTERM is killed. The platform
-# waits at least for the longest time limit (but no more than 3 s) and 0.7 s more.
+# Seconds after SIGTERM until a planned restart kills a dispatcher that has not ended. The platform waits at
+# least for the longest time limit (but no more than 3 s) and 0.7 s more.
 KILL_DELAY = 3.7
 # Microseconds between two checks whether a drained worker is empty, or a stopped dispatcher has ended.
 CHECK_INTERVAL = 100_000
@@ -66,7 +66,7 @@
         return sorted(order[:target_count])
 
     def set(self) -> None:
-        """Set a timer for the begin of each fault; the fault itself schedules its end."""
+        """Set a timer for the start of each fault; the fault itself schedules its end."""
         host, seed = self.runner.host, self.runner.script.seed
         for index, (fault, numbers) in enumerate(self.targets):
             if fault.what in traffic.TRAFFIC_FAULTS:
@@ -87,7 +87,7 @@
     # --- datagrams between dispatchers
 
     def do_talk_cut(self, fault: FaultSpec, number: int, until: int, both: bool = True) -> None:
-        """Drop all datagrams from and, for both ways, to a dispatcher."""
+        """Drop all datagrams from a dispatcher and, if `both`, also those to it."""
         others = [f"d{candidate}" for candidate in range(len(self.runner.dispatchers)) if candidate != number]
         pairs = {(f"d{number}", other) for other in others}
         if both:
--- a/locktide/simulation/interfaces.py
+++ b/locktide/simulation/interfaces.py
@@ -1,4 +1,4 @@
-"""What the emulated machines see of the scenario runner: each only the part that it needs."""
+"""The scenario runner as the emulated machines see it: an interface for each kind of machine."""
 
 from __future__ import annotations
 
--- a/locktide/simulation/model/checker.py
+++ b/locktide/simulation/model/checker.py
@@ -2,7 +2,7 @@
 
 The checker uses no records of the dispatchers: its input is the attempts that reached workers, the responses
 that clients received, the endpoint lists that dispatchers were sent, and the effects of jobs. The time at
-which an attempt was sent is not observed; the earliest that the link allows is assumed.
+which an attempt was sent is not observed; the earliest time that the link allows is assumed.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
         self.results: dict[str, set[bytes]] = {}
         self.ended: dict[str, tuple[int, str]] = {}  # time and status of the response to the client
         self.effects: dict[str, list[str]] = {}  # the submissions that had an effect, by idempotency key
-        self.excused: set[str] = set()  # held by a dispatcher when it was killed
+        self.excused: set[str] = set()  # ids that a dispatcher held when it was killed
         self.other_counts = {"doubled records": 0, "fell over": 0}
 
     def record_violation(self, at: int, rule: str, what: str) -> None:
@@ -99,10 +99,10 @@
         """Check an attempt that has reached a worker completely.
 
         `notified_at` is when its dispatcher was notified that the worker drains or is gone; `cut_at` is when
-        the link was cut, for an attempt held back by that; `could_have_ended` tells whether the dispatcher
+        the link was cut, for an attempt held back by that; `could_have_ended` returns whether the dispatcher
         could have ended an attempt in a way that both sides know.
         """
-        # The attempt was sent at the earliest by the largest delay of the link before its first byte came.
+        # The attempt was sent no earlier than the largest delay of the link before its first byte arrived.
         received = ReceivedAttempt(worker, pod, dispatcher, at, first_at - max_delay, cut_at is not None)
         if cut_at is not None:
             received.sent_at = min(received.sent_at, cut_at)
@@ -160,7 +160,7 @@
         self.results.setdefault(id, set()).add(result)
 
     def effect(self, at: int, submission: RequestTry, received: ReceivedAttempt | None = None) -> None:
-        """Check the effect of a job: it has started, and is no repeat that its pod drops.
+        """Check the effect of a job that has started and that its pod has not dropped as a repeat.
 
         A repeat that was sent in time, but held back by the network past the deduplication window, counts as
         a doubled record, though not as a violation.
--- a/locktide/simulation/model/discovery.py
+++ b/locktide/simulation/model/discovery.py
@@ -35,7 +35,8 @@
 class CallCapacity:
     """The one service behind all agents if the list has to be polled; it serves calls one after another.
 
-    Each call takes `work` microseconds of it, even one that is rejected after `max_wait` microseconds.
+    Each call occupies the service for `work` microseconds, even a call that is rejected after `max_wait`
+    microseconds.
     """
 
     def __init__(self, work: int, max_wait: int) -> None:
@@ -43,7 +44,7 @@
         self.busy_until = self.call_count = 0
 
     def call(self, now: int) -> tuple[int, bool]:
-        """Return when the call is answered, and whether with the list instead of a rejection."""
+        """Return when the call is answered, and whether the answer is the list rather than a rejection."""
         self.call_count += 1
         self.busy_until = max(now, self.busy_until) + self.work
         return min(self.busy_until, now + self.max_wait), self.busy_until <= now + self.max_wait
@@ -127,7 +128,8 @@
     def drain_notified_at(self, number: int) -> int | None:
         """Return when the dispatcher was notified that the worker drains or is gone.
 
-        None if its last notification is another one; the earlier one if it drained and then left.
+        None if the last notification says that the worker is active. If the worker drained and then left, the
+        earlier of both notifications counts.
         """
         _, state, boot_at = self.last_notified[number]
         if state == ACTIVE:
--- a/locktide/simulation/model/network.py
+++ b/locktide/simulation/model/network.py
@@ -19,7 +19,7 @@
 
 
 class NetworkLinks:
-    """All links, with delays in whole microseconds; nothing passes a cut link, and no end is notified."""
+    """All links, with delays in whole microseconds; nothing passes a cut link; neither end is notified."""
 
     def __init__(self, terms: NetworkSpec, seed: int) -> None:
         self.config, self.seed, self.draw_count = terms, seed, 0
--- a/locktide/simulation/model/random_scenario.py
+++ b/locktide/simulation/model/random_scenario.py
@@ -1,4 +1,4 @@
-"""Random scenarios: for each seed one with a random fleet, random traffic and random faults."""
+"""Random scenarios: each seed gives one, with a random fleet, random traffic and random faults."""
 
 from __future__ import annotations
 
--- a/locktide/simulation/model/random_streams.py
+++ b/locktide/simulation/model/random_streams.py
@@ -1,4 +1,4 @@
-"""Random numbers for the model: a stream per purpose, so that an extra draw for one changes no other."""
+"""Random numbers for the model: a stream per purpose, so that an extra draw from one changes no other."""
 
 from __future__ import annotations
 
--- a/locktide/simulation/model/scenario.py
+++ b/locktide/simulation/model/scenario.py
@@ -342,9 +342,9 @@
 
 
 def resolve_targets(scenario: Scenario, fault: FaultSpec) -> tuple[list[int], float]:
-    """Return the numbers of the named targets, and the part of all targets to draw if a percentage is given.
+    """Return the numbers of the named targets, and the fraction of all to draw if a percentage is given.
 
-    Raises ValueError with the word that names no target.
+    Raises ValueError with the part of `whom` that matches no target.
     """
     count = scenario.fleet.dispatchers if fault.what in DISPATCHERS else scenario.fleet.workers
     prefix = "d" if fault.what in DISPATCHERS else "w"
@@ -369,7 +369,7 @@
 
 
 def assign_worker_types(scenario: Scenario) -> list[WorkerTypeSpec]:
-    """Return each worker's type, interleaved so that any run of workers has about the shares of the types."""
+    """Return each worker's type, interleaved so that any consecutive workers have about the types' shares."""
     kinds, total = scenario.fleet.kinds, sum(kind.share for kind in scenario.fleet.kinds)
     credits, assigned = [0.0] * len(kinds), []
     for _ in range(scenario.fleet.workers):
@@ -409,7 +409,7 @@
             faults.append(
                 ConfigError.mismatch(
                     f"grade[{index}].width",
-                    expected="no more than the fewest cores",
+                    expected="no more than the cores of each kind",
                     found=f"{service_class.width}",
                 )
             )
@@ -426,7 +426,7 @@
         if fault.what == "trap" and not at_worker or fault.what == "trap-dispatcher" and at_worker:
             faults.append(
                 ConfigError.mismatch(
-                    f"{where}.point", expected="a point of who is trapped", found=f"{fault.point!r}"
+                    f"{where}.point", expected="a point of the trapped process", found=f"{fault.point!r}"
                 )
             )
         if fault.at >= scenario.length:
--- a/locktide/simulation/model/traffic.py
+++ b/locktide/simulation/model/traffic.py
@@ -43,7 +43,7 @@
     tenant: str = ""
     home: int = -1  # the dispatcher that the tenant's clients prefer
     tries: list[RequestTry] = field(default_factory=list)
-    answered_at: int = 0  # when its successful response came, 0 without one
+    answered_at: int = 0  # when its successful response arrived; 0 if there is none
 
     @property
     def soft_limit(self) -> int:
@@ -183,7 +183,7 @@
             self.removal_at.setdefault(dispatcher, now + self.notice)
 
     def note_ready(self, dispatcher: int) -> None:
-        """Put a dispatcher in service that has answered a readiness check."""
+        """Put a dispatcher in service, as it has answered a readiness check."""
         if dispatcher in self.in_service:
             self.in_service[dispatcher] = True
             self.removal_at.pop(dispatcher, None)
@@ -200,7 +200,7 @@
                 del self.removal_at[dispatcher]
 
     def choose(self, now: int, home: int = -1) -> int | None:
-        """Return the dispatcher for a new submission, its home if in service; None if none is in service."""
+        """Return the dispatcher for a new submission: `home` if in service; None if there is none."""
         self.advance(now)
         if self.in_service.get(home):
             return home
--- a/locktide/simulation/model/worker.py
+++ b/locktide/simulation/model/worker.py
@@ -28,7 +28,7 @@
     fails: bool = False
     taken_at: int = 0
     ends_at: float = 0.0  # on the scale of EmulatedWorker.done
-    begins_at: float = 0.0  # the same
+    begins_at: float = 0.0  # on the same scale
     reported_at: int = 0  # time of the last progress report
     # For a numbered job: the record of its pod at the time of acceptance.
     seen: DeduplicationRecord | None = None
@@ -74,7 +74,7 @@
     def __init__(self, config: WorkerConfig, now: int, cold: bool = False) -> None:
         self.config = config
         self.slow = self.shared = 1.0  # slowdown factors: of this worker, of all workers
-        self.held_until = 0  # paused or hanging until then
+        self.held_until = 0  # paused or hanging until this time
         self.draining = False
         self.start(now, cold)
 
@@ -93,7 +93,7 @@
     # --- speed
 
     def warmth(self, now: int) -> float:
-        """Return the current part of the full speed, which rises linearly from `cold_from` to 1."""
+        """Return the current fraction of the full speed, which rises linearly from `cold_from` to 1."""
         age, config = now - self.started_at, self.config
         if age >= config.cold_for:
             return 1.0
@@ -114,7 +114,7 @@
         return self.pace() * (amount + (until - since - rising))
 
     def finish_time(self, work: float) -> int:
-        """Return when one busy core will have done so much more work if nothing changes meanwhile."""
+        """Return when one busy core will have done `work` more if nothing changes meanwhile."""
         since = max(self.at, self.held_until)
         need = work / self.pace()
         warm_at = self.started_at + self.config.cold_for
@@ -212,7 +212,7 @@
     def withdraw(self, id: str, sender: int) -> list[RunningJob]:
         """Cancel the sender's attempts of that submission, and return those that are stopped by it.
 
-        Depending on `cancels`, running or even waiting attempts continue; no more is reported of any of them.
+        Depending on `cancels`, running or even waiting attempts continue; nothing more is reported on them.
         """
         matching = [
             job for job in (*self.queue, *self.jobs.values()) if job.id == id and job.sender == sender
@@ -284,7 +284,8 @@
 class DeduplicationCell:
     """Workers that share a deduplication record of numbered requests.
 
-    A key that is accepted again within the span is a repeat; a repeat has no effect if the first one had one.
+    A key that is accepted again within the span is a repeat; a repeat has no effect if the first job had an
+    effect.
     """
 
     span: int
--- a/locktide/simulation/process_backend.py
+++ b/locktide/simulation/process_backend.py
@@ -26,7 +26,7 @@
 
 # A run counts only if the event loop of this process kept up, which is checked by how late it is woken. A
 # wake later than LATE_WAKE shows in response times; more than MAX_LATE_PART of such wakes, or one wake later
-# than VERY_LATE_WAKE, falsify the figures. Seconds, but for MAX_LATE_PART.
+# than VERY_LATE_WAKE, falsify the figures. All values are seconds, except MAX_LATE_PART, which is a fraction.
 WAKE_CHECK_INTERVAL, LATE_WAKE, VERY_LATE_WAKE, MAX_LATE_PART = 0.02, 0.05, 0.5, 0.01
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 LOOPBACK_NETS = range(2, 250)
@@ -124,7 +124,7 @@
 
 class ProcessBackend:
     links: NetworkLinks
-    slack = 30_000  # microseconds by which two processes of one machine may see the same event apart
+    slack = 30_000  # microseconds by which the times of one event at two processes of a machine may differ
 
     def __init__(self, program: Path, folder: Path) -> None:
         """Create a backend; `program` is the checkout to run, configurations and logs go to `folder`."""
@@ -267,7 +267,7 @@
         return True
 
     def hold_up_dispatcher(self, number: int, seconds: float) -> None:
-        """Give a dispatcher no processor for so long; what is sent to it still arrives."""
+        """Give a dispatcher no processor for `seconds`; what is sent to it still arrives."""
         process = self.processes[number]
         process.send_signal(signal.SIGSTOP)
         self.loop.call_later(seconds, process.send_signal, signal.SIGCONT)
--- a/locktide/simulation/rendered_config.py
+++ b/locktide/simulation/rendered_config.py
@@ -118,7 +118,7 @@
 
 
 def acceptor_count(scenario: Scenario) -> int:
-    """Return how many dispatchers, the first ones, are acceptors: five, three or one."""
+    """Return how many of the dispatchers are acceptors, counted from the first: five, three or one."""
     return 5 if scenario.fleet.dispatchers >= 5 else 3 if scenario.fleet.dispatchers >= 3 else 1
 
 
@@ -144,7 +144,7 @@
 
 
 def installation(scenario: Scenario, name: str, accord: ClusterSection) -> Installation:
-    """Return the part of an installation that the cluster is configured by."""
+    """Return an installation with only the parts that configure the cluster."""
     return Installation(
         serve=ServeSection(name=name),
         cluster=accord,
@@ -161,9 +161,10 @@
 def as_file(
     scenario: Scenario, rendered: dict[str, Any], directory: Path, accord: ClusterSection | None = None
 ) -> str:
-    """Return what `config` returns as an installation file, with durable jobs in that directory or a cluster.
+    """Return the result of `config`, `rendered`, as an installation file, with durable jobs or a cluster.
 
-    The file is for `locktide serve`, as the start document of the platform has no such parts.
+    Durable jobs are stored in `directory`. The file is for `locktide serve`, as the start document of the
+    platform has no such parts.
     """
     config_section, dispatcher, durable_section = scenario.worker, scenario.dispatcher, durable(scenario)
     tables: dict[str, dict[str, Any]] = {
--- a/locktide/simulation/scenario_runner.py
+++ b/locktide/simulation/scenario_runner.py
@@ -140,7 +140,7 @@
     def entry(self, number: int, boot_at: int = 0) -> ListedWorker:
         kind, zone = assign_worker_types(self.script)[number], self.zone_of(number)
         pod = number // self.script.fleet.zones // self.script.fleet.pod * self.script.fleet.zones + zone
-        # Only the size of the machine, as a discovery service knows no more.
+        # The rating is only the size of the machine, as a discovery service knows no more.
         rating = round(kind.cores * kind.speed, 3)
         return ListedWorker(number, f"w{number}", f"zone{zone}", kind.name, pod, ACTIVE, rating, boot_at)
 
@@ -275,7 +275,7 @@
         self.gone(number)
 
     def reach_crash_point(self, number: int, point: str) -> None:
-        """Handle that a dispatcher has reached a crash point: a trap there kills it at once."""
+        """Kill a dispatcher at once if a trap is set at the crash point that it has reached."""
         trap = self.pending_traps.get(number)
         if trap is not None and trap[0] == point and self.dispatchers[number].alive:
             del self.pending_traps[number]
--- a/locktide/simulation/virtual_backend.py
+++ b/locktide/simulation/virtual_backend.py
@@ -75,13 +75,13 @@
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop, self.net = loop, VirtualNetwork(loop, self)
-        self.links: Any = None  # of the scenario runner, set once it exists
+        self.links: Any = None  # the links of the scenario runner, set once that exists
         self.machines: dict[str, Machine] = {}
         self.processes: dict[int, tuple[VirtualProcess, asyncio.Event]] = {}
         self.nodes: dict[int, Dispatcher] = {}  # of the processes that have started
         self.begun = 0.0
         self.log_lines: list[str] = []
-        # Settings, seed, sync latency in seconds, and part of the crashes that leave zeros.
+        # Settings, seed, sync latency in seconds, and fraction of the crashes that leave zeros.
         self.durable: tuple[DurableJobsSection, int, float, float] | None = None
         self.platters: dict[int, VirtualDisk] = {}
         self.on_crash_point: Callable[[int, str], None] = lambda number, name: None
@@ -176,7 +176,7 @@
         trace = io.StringIO()
         self.traces.append((number, process, trace))
         cluster_config = self.cluster_for(number, process.name, process.address)
-        # The time of its start distinguishes it from earlier processes, as the real clock does elsewhere.
+        # The start time distinguishes the process from earlier ones, as the real clock does elsewhere.
         cluster_config = replace(
             cluster_config, member_id=(process.name, round(self.wall() * 1e6)), random_seed=len(self.traces)
         )
@@ -206,7 +206,7 @@
         ], round(self.begun * 1e6)
 
     def on_dispatcher_ended(self, done: asyncio.Task[None]) -> None:
-        """Record the exception of a dispatcher that failed; it would otherwise pass for a silent one."""
+        """Record the exception of a dispatcher that failed; it would otherwise look like a silent one."""
         if not done.cancelled() and (error := done.exception()) is not None:
             self.loop.unhandled.append({"message": "a dispatcher ended", "exception": error})
 
@@ -216,7 +216,7 @@
     def reload_dispatcher(self, number: int, start_config: dict[str, Any]) -> bool:
         """Put other settings in force, as SIGHUP does; return False for a process that is not up yet.
 
-        Such a process goes by the settings of its start here.
+        Here such a process keeps the settings with which it was started.
         """
         process, _ = self.processes[number]
         dispatcher = self.nodes.get(number)
@@ -227,7 +227,7 @@
         return True
 
     def hold_up_dispatcher(self, number: int, seconds: float) -> None:
-        """Give a dispatcher no processor for so long; what is sent to it still arrives."""
+        """Give a dispatcher no processor for `seconds`; what is sent to it still arrives."""
         self.processes[number][0].held_until = self.loop.time() + seconds
 
     def kill_dispatcher(self, number: int) -> None:
--- a/locktide/simulation/virtual_time/disk.py
+++ b/locktide/simulation/virtual_time/disk.py
@@ -108,7 +108,7 @@
 
     def acquire_lock(self) -> None:
         if self.disk.mounted is not None:
-            raise DirectoryInUseError("another dispatcher has it")
+            raise DirectoryInUseError("in use by another dispatcher")
         self.disk.mounted = self
 
     def release_lock(self) -> None:
--- a/locktide/simulation/virtual_time/loop.py
+++ b/locktide/simulation/virtual_time/loop.py
@@ -11,7 +11,8 @@
 
 from locktide.simulation.virtual_time.process import PROCESS, VirtualProcess
 
-# Callbacks that only schedule each other at once would never let time advance: a fault in the code that runs.
+# Limit for callbacks at one time: callbacks that keep scheduling each other without delay are a fault in the
+# code that runs, and would never let time advance.
 MAX_CALLBACKS_AT_ONCE = 2_000_000
 
 
@@ -96,14 +97,14 @@
                 at_once += 1
                 self.ran += 1
                 if at_once > MAX_CALLBACKS_AT_ONCE:
-                    raise DeadlockError(f"no end of work at {self.now:.6f} s: {handle!r}")
+                    raise DeadlockError(f"callbacks never let time advance at {self.now:.6f} s: {handle!r}")
                 handle._run()
         finally:
             self.running = False
             asyncio._set_running_loop(previous)
 
     def defer(self, handle: asyncio.Handle, process: VirtualProcess) -> None:
-        """Postpone a callback of a process that is held up until it runs again, in the order of the calls."""
+        """Postpone a callback until its process, which is held up, runs again; keep the order of calls."""
         self.handle_count += 1
         heapq.heappush(self.timers, (process.held_until, self.handle_count, handle, process))
 
--- a/locktide/simulation/virtual_time/network.py
+++ b/locktide/simulation/virtual_time/network.py
@@ -63,7 +63,7 @@
         return client_side
 
     async def travel(self, source: str, target: str) -> None:
-        """Wait for one way of a handshake; over a cut link it never arrives."""
+        """Wait for one direction of a handshake; never return if the link is cut."""
         if self.links.cut(source, target):
             await self.loop.create_future()
         await asyncio.sleep(self.links.delay(source, target) / 1e6)
--- a/locktide/simulation/virtual_time/process.py
+++ b/locktide/simulation/virtual_time/process.py
@@ -14,7 +14,7 @@
     def __init__(self, name: str, address: str) -> None:
         self.name, self.address = name, address
         self.dead = False
-        self.held_until = 0.0  # none of its callbacks run before, as without a processor
+        self.held_until = 0.0  # its callbacks do not run before this time, as if it had no processor
         self.tasks: list[Any] = []
         # Tasks of a dead process, so that they are not garbage-collected while others run.
         self.kept: list[Any] = []
--- a/locktide/simulation/virtual_time/stream.py
+++ b/locktide/simulation/virtual_time/stream.py
@@ -56,7 +56,7 @@
         self.peer: VirtualTransport
         self.protocol: Any = None
         self.context: contextvars.Context | None = None
-        self.sent_until = 0.0  # nothing sent later arrives earlier
+        self.sent_until = 0.0  # arrival of the last data; later data does not overtake it
         self.data_at: float = net.loop.time()  # when data was last received; at first, when it was opened
         self.held: list[tuple[Callable[..., None], Any]] = []  # sent over a cut link
         self.unread: deque[Any] = deque()  # received, but not read; None is the end of the stream
--- a/locktide/simulation/worker_site.py
+++ b/locktide/simulation/worker_site.py
@@ -388,7 +388,7 @@
         self.die()  # without a restart
 
     def die(self, silently: bool = False) -> None:
-        """End the process and lose its jobs; `silently`, without resets and reports, if it is cut off."""
+        """End the process and lose its jobs; if `silently`, as when cut off, without resets and reports."""
         if not self.worker.up:
             return
         host, now = self.runner.host, self.runner.host.now()
