--- a/locktide/simulation/outcome.py
+++ b/locktide/simulation/outcome.py
@@ -31,7 +31,7 @@
 
 
 def service(requests: Iterable[ClientRequest]) -> float | None:
-    """Return the part of the revenue whose response met the latency objective; None without requests."""
+    """Return the fraction of the revenue earned within the latency objectives; None without requests."""
     requests = list(requests)
     return ratio(revenue_on_time(requests), sum(request.revenue for request in requests))
 
@@ -46,7 +46,7 @@
 
 
 def worst_window_service(requests: list[ClientRequest], length: float) -> float | None:
-    """Return the service of the worst ten seconds, by the time of the requests."""
+    """Return the lowest `service` of any ten seconds; a request counts at its first submission."""
     found = []
     for begin in range(max(1, int(length) - WORST_S + 1)):
         window = [request for request in requests if begin <= request.at / 1e6 < begin + WORST_S]
