--- a/locktide/bench_adapter/decoding.py
+++ b/locktide/bench_adapter/decoding.py
@@ -112,7 +112,7 @@
         request_id=read_integer(fields, spellings.REQUEST_ID),
         attempt=read_integer(fields, spellings.ATTEMPT),
         outcome=read_choice(spellings.OUTCOMES, fields, spellings.OUTCOME),
-        final=fields.get(spellings.IS_FINAL) == spellings.YES,
+        is_final=fields.get(spellings.IS_FINAL) == spellings.YES,
         load=read_load(fields),
     )
 
--- a/locktide/cluster/fairness/usage.py
+++ b/locktide/cluster/fairness/usage.py
@@ -105,7 +105,7 @@
             self._add(self.in_use, usage, -1)
             if not usage.running and not usage.answered:
                 self._add(self.waiting, usage, 1)
-        if event.final:
+        if event.is_final:
             self._on_answered(event)
         elif not usage.running and usage.answered:
             del self.open_requests[event.request_id]
--- a/locktide/config/settings.py
+++ b/locktide/config/settings.py
@@ -152,9 +152,9 @@
 def _read_endpoint_list(settings: JsonObject, rules: JsonObject) -> EndpointListConfig:
     mode = settings.get(SettingsKey.ENDPOINT_LIST_MODE, EndpointListMode.PUSHED)
     return EndpointListConfig(
-        polled=mode == EndpointListMode.POLLED,
+        is_polled=mode == EndpointListMode.POLLED,
         poll_within=rules.microseconds(RulesKey.POLL_WITHIN, DEFAULT_POLL_WITHIN),
-        live_ratings=settings.choice(RATING_KINDS, SettingsKey.RATING_KIND, "silent"),
+        has_live_ratings=settings.choice(RATING_KINDS, SettingsKey.RATING_KIND, "silent"),
         close_idle_within=rules.microseconds(RulesKey.CLOSE_IDLE_WITHIN, 0),
     )
 
--- a/locktide/dispatcher/completion.py
+++ b/locktide/dispatcher/completion.py
@@ -25,6 +25,6 @@
         if not attempt.end(outcome):
             return
         self.leases.end(request, attempt)
-        ended = AttemptEnded(request.message.id, attempt.number, outcome, final=not request.is_open)
+        ended = AttemptEnded(request.message.id, attempt.number, outcome, is_final=not request.is_open)
         self.bridge.enqueue_event(ended)
         self.registry.release_settled(request)
--- a/locktide/dispatcher/endpoint_follower.py
+++ b/locktide/dispatcher/endpoint_follower.py
@@ -48,7 +48,7 @@
 
     def start(self) -> None:
         """Follow the list from now on; a list that is polled, only once the scheduler requests it."""
-        self.watch(self.follow_when_requested() if self.settings.endpoint_list.polled else self.follow())
+        self.watch(self.follow_when_requested() if self.settings.endpoint_list.is_polled else self.follow())
 
     def restart(self) -> None:
         """Follow the list at the address in force, starting with the whole list.
@@ -94,7 +94,7 @@
         What the agent has counts as notified from the first moment of the process. A silent agent does not
         delay the start for long: only the cached list is available then.
         """
-        if self.settings.endpoint_list.polled:
+        if self.settings.endpoint_list.is_polled:
             return
         with suppress(TimeoutError):
             await asyncio.wait_for(self.endpoint_list.received.wait(), FIRST_LIST_TIMEOUT)
@@ -102,7 +102,7 @@
     async def follow(self, version: int | None = None) -> None:
         """Follow the list at the address in force; begin after `version`, or with the whole list if None."""
         config = self.settings.endpoint_list
-        await (self._polling_watch(config, version) if config.polled else self._watch(version)).run()
+        await (self._polling_watch(config, version) if config.is_polled else self._watch(version)).run()
 
     async def follow_when_requested(self) -> None:
         """Follow the list once the scheduler requests it; begin after the cached version."""
--- a/locktide/scheduler/__init__.py
+++ b/locktide/scheduler/__init__.py
@@ -13,7 +13,7 @@
 * The attempts of a request are numbered 0, 1, 2 ... in the order of its `StartAttempt` commands. For a
   recovered request the numbers continue after the recovered attempts.
 * The host reports exactly one `AttemptEnded` for every attempt, also for one that was cancelled or never
-  sent. It sets `final` when the request itself has its response.
+  sent. It sets `is_final` when the request itself has its response.
 * `RejectRequest` and `FailRequest` are the response to a request; no further command concerns that request.
   After `ReportInternalError` with a request id the host responds to that request itself.
 * After the delay of a `SetTimer` the host reports `TimerFired` with the same timer id.
--- a/locktide/scheduler/config.py
+++ b/locktide/scheduler/config.py
@@ -130,19 +130,19 @@
     """How the endpoint list is obtained and what its ratings mean.
 
     Attributes:
-        polled: whether the scheduler commands each fetch of the list; otherwise updates are pushed.
+        is_polled: whether the scheduler commands each fetch of the list; otherwise updates are pushed.
         poll_within: time after its start within which each dispatcher should fetch the list, in microseconds.
-        live_ratings: whether ratings fall with the load of a worker, as size / (1 + requests per core), with
-            some delay; otherwise they state the size of the worker.
+        has_live_ratings: whether ratings fall with the load of a worker, as size / (1 + requests per core),
+            with some delay; otherwise they state the size of the worker.
         close_idle_within: time within which idle connections to a draining worker have to be closed, in
             microseconds; 0: they may stay open.
         notified_within: how long after a change can be fetched the dispatcher counts as notified of it,
             whether or not its fetches succeeded, in microseconds; 0: no such limit.
     """
 
-    polled: bool
+    is_polled: bool
     poll_within: int
-    live_ratings: bool = False
+    has_live_ratings: bool = False
     close_idle_within: int = 0
     notified_within: int = 0
 
--- a/locktide/scheduler/events.py
+++ b/locktide/scheduler/events.py
@@ -184,14 +184,14 @@
         request_id: the request of the attempt.
         attempt: the number of the attempt.
         outcome: how the attempt ended.
-        final: whether the request itself has its response.
+        is_final: whether the request itself has its response.
         load: load figures that the worker reported, by name.
     """
 
     request_id: RequestId
     attempt: int
     outcome: AttemptOutcome
-    final: bool
+    is_final: bool
     load: dict[str, float] = field(default_factory=dict)
 
 
--- a/locktide/scheduler/policy/attempt_outcomes.py
+++ b/locktide/scheduler/policy/attempt_outcomes.py
@@ -89,7 +89,7 @@
         if request.is_answered:
             if not request.open_attempts:
                 self.requests.forget(request)
-        elif event.final:
+        elif event.is_final:
             self.lifecycle.finish(request)
         else:
             self.lifecycle.continue_after_attempt(request)
--- a/locktide/scheduler/policy/endpoint_list.py
+++ b/locktide/scheduler/policy/endpoint_list.py
@@ -39,7 +39,7 @@
             self.polling.on_failure(timed_out=event.kind == ListUpdateKind.FETCH_TIMED_OUT)
             return
         config = self.config.current.endpoint_list
-        if event.kind == ListUpdateKind.CACHED and config.polled:
+        if event.kind == ListUpdateKind.CACHED and config.is_polled:
             self.polling.on_cached_list()
         else:
             self.polling.on_success()
--- a/locktide/scheduler/policy/endpoint_polling.py
+++ b/locktide/scheduler/policy/endpoint_polling.py
@@ -52,7 +52,7 @@
 
     def poll_when_due(self) -> None:
         """Command a call for the list if it is polled, not watched, and the next call is due."""
-        is_polled = self.config.current.endpoint_list.polled
+        is_polled = self.config.current.endpoint_list.is_polled
         if is_polled and not self._is_watched and self.clock.now >= self._next_poll_at:
             self._is_watched = True
             self.commands.add(WatchEndpoints(True))
--- a/locktide/scheduler/policy/placement_strategy.py
+++ b/locktide/scheduler/policy/placement_strategy.py
@@ -61,6 +61,6 @@
 
     def configure(self) -> None:
         """Choose the strategy for the configuration in force, and configure it."""
-        has_live_ratings = self._config.current.endpoint_list.live_ratings
+        has_live_ratings = self._config.current.endpoint_list.has_live_ratings
         self.current = self._weighted if has_live_ratings else self._uniform
         self.current.configure()
--- a/tests/bench_adapter/test_decoding.py
+++ b/tests/bench_adapter/test_decoding.py
@@ -38,7 +38,7 @@
     "NOTE Corr=7 Shot=1 What=2 Value=0.25": AttemptProgressed(7, 1, 0.25),
     "NOTE Corr=7 Shot=1 What=3": None,
     "ENDED Corr=7 Shot=1 Verdict=OK Last=1 Load=x0:1.5,x1:2": AttemptEnded(
-        request_id=7, attempt=1, outcome=AttemptOutcome.DONE, final=True, load={"x0": 1.5, "x1": 2.0}
+        request_id=7, attempt=1, outcome=AttemptOutcome.DONE, is_final=True, load={"x0": 1.5, "x1": 2.0}
     ),
     "ENDED Corr=7 Shot=1 Verdict=ABORTED Last=0 Load=-": AttemptEnded(7, 1, AttemptOutcome.RESET, False),
     "TIMED_OUT_CLIENT Corr=7": ClientDisconnected(7),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -178,7 +178,7 @@
         objective=ObjectiveConfig(worst_class_weight=worst_class_weight),
         slow_start=SLOW_START,
         endpoint_list=EndpointListConfig(
-            polled=is_polled, poll_within=10_000_000, live_ratings=has_live_ratings
+            is_polled=is_polled, poll_within=10_000_000, has_live_ratings=has_live_ratings
         ),
         progress=ProgressConfig(reports_start=True, report_interval=1_000_000),
         costs=costs or CostConfig(),
@@ -307,7 +307,7 @@
             self.attempts[event.request_id] = []
         elif type(event) is AttemptEnded:
             self.attempts[event.request_id][event.attempt]["outcome"] = event.outcome
-            if event.final:
+            if event.is_final:
                 self.finished.setdefault(event.request_id, "done")
         elif type(event) is ClientDisconnected:
             self.finished.setdefault(event.request_id, "disconnected")
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -84,7 +84,7 @@
         slow_start=SlowStartConfig(
             overload_factor=4.0, window=2_000_000, initial_capacity=0.35, warmup=8_000_000, margin=margin
         ),
-        endpoint_list=EndpointListConfig(polled=False, poll_within=10_000_000),
+        endpoint_list=EndpointListConfig(is_polled=False, poll_within=10_000_000),
         progress=ProgressConfig(reports_start=True, report_interval=1_000_000),
         costs=CostConfig(),
     )
--- a/tests/simulation/test_checker.py
+++ b/tests/simulation/test_checker.py
@@ -88,7 +88,7 @@
             elif type(event) is RequestArrived:
                 self.requests[event.request_id] = event
                 commands += self.arrived(now, event)
-            elif type(event) is AttemptEnded and not event.final:
+            elif type(event) is AttemptEnded and not event.is_final:
                 commands += self.ended(now, event)
             elif type(event) is TimerFired:
                 commands += self.due(now, event.timer_id)
--- a/tests/simulation/test_simulate.py
+++ b/tests/simulation/test_simulate.py
@@ -329,8 +329,8 @@
     start_config = start_from_installation(installation, 5)
     assert start_config.listen == ("127.0.0.1", 7070) and start_config.idle_close == 15_000_000
     assert (
-        not start_config.scheduler_config.endpoint_list.live_ratings
-        and not start_config.scheduler_config.endpoint_list.polled
+        not start_config.scheduler_config.endpoint_list.has_live_ratings
+        and not start_config.scheduler_config.endpoint_list.is_polled
         and start_config.scheduler_config.costs == CostConfig(idle_timeout=15_000_000)
     )
     installation.workers.ratings, installation.serve.zone, installation.serve.polled = "live", "north", True
@@ -339,8 +339,8 @@
     installation.tenants = [TenantSection("dairy", 4.0)]
     changed_config = start_from_installation(installation, 5).scheduler_config
     assert (
-        changed_config.endpoint_list.live_ratings
-        and changed_config.endpoint_list.polled
+        changed_config.endpoint_list.has_live_ratings
+        and changed_config.endpoint_list.is_polled
         and changed_config.quotas.quotas == {"dairy": 4.0}
     )
     assert (
--- a/tests/test_parsed_values.py
+++ b/tests/test_parsed_values.py
@@ -169,7 +169,7 @@
     ),
     EndpointListConfig: (
         "list-terms",
-        "must_ask=polled ask_within=poll_within live=live_ratings "
+        "must_ask=is_polled ask_within=poll_within live=has_live_ratings "
         "hang_up_within=close_idle_within told_within=notified_within",
     ),
     ProgressConfig: ("sign-terms", "tells_start=reports_start progress_every=report_interval"),
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -206,9 +206,9 @@
             margin=settings.slow_start_margin,
         ),
         EndpointListConfig(
-            polled=settings.is_polled,
+            is_polled=settings.is_polled,
             poll_within=settings.poll_within,
-            live_ratings=settings.has_live_ratings,
+            has_live_ratings=settings.has_live_ratings,
             close_idle_within=settings.close_idle_within,
             notified_within=settings.notified_within,
         ),
@@ -282,7 +282,7 @@
 
 
 def ended(request: int, attempt: int, outcome: str, final: bool) -> Any:
-    return AttemptEnded(request_id=request, attempt=attempt, outcome=OUTCOMES[outcome], final=final)
+    return AttemptEnded(request_id=request, attempt=attempt, outcome=OUTCOMES[outcome], is_final=final)
 
 
 def client_disconnected(request: int) -> Any:
