--- a/locktide/scheduler/estimators/run_time.py
+++ b/locktide/scheduler/estimators/run_time.py
@@ -10,13 +10,13 @@
 #: short enough to follow a slowdown of all workers.
 SPAN = 10_000_000
 #: Decayed number of completed runs up to which the mean is not computed from them.
-FEWEST_FOR_MEAN = 0.1
+MIN_RUNS_FOR_MEAN = 0.1
 #: Decayed number of completed runs below which no run counts as long.
-FEWEST_FOR_DEVIATION = 5.0
+MIN_RUNS_FOR_DEVIATION = 5.0
 #: Standard deviations above the mean from which a run counts as long.
 LONG_DEVIATIONS = 3.0
 #: Long run time while few completed runs are known, in microseconds: more than any run takes.
-NEVER_LONG = 1e12
+NO_LONG_RUN_TIME = 1e12
 #: Minimum mean, in microseconds: a start and an end that are reported together give a run time of zero.
 MIN_MEAN = 1.0
 
@@ -46,7 +46,7 @@
         While no completed run is known, return the hint, or the initial estimate if there is no hint.
         """
         count = self._count.read(now)
-        if count > FEWEST_FOR_MEAN:
+        if count > MIN_RUNS_FOR_MEAN:
             return max(MIN_MEAN, self._times.read(now) / count)
         return hint or self.initial_estimate
 
@@ -56,7 +56,7 @@
         count = self._count.read(now)
         # Read even if it is not used, as each reading affects the rounding of the later decay.
         squares = self._squares.read(now)
-        if count < FEWEST_FOR_DEVIATION:
-            return NEVER_LONG
+        if count < MIN_RUNS_FOR_DEVIATION:
+            return NO_LONG_RUN_TIME
         variance = squares / count - mean * mean
         return mean + LONG_DEVIATIONS * sqrt(max(0.0, variance))
--- a/locktide/scheduler/estimators/throughput.py
+++ b/locktide/scheduler/estimators/throughput.py
@@ -7,7 +7,7 @@
 SPAN = 60_000_000
 #: Assumed completed runs with the usual run time for each type, added to its own: limits the effect of a
 #: single run.
-PRIOR_ENDS = 2.0
+PRIOR_RUNS = 2.0
 
 
 class _TypeRunTimes:
@@ -21,8 +21,8 @@
 
     def mean(self, now: int) -> float:
         """Return the mean relative run time, including the assumed completed runs."""
-        total = self.relative_run_times.read(now) + PRIOR_ENDS
-        return total / (self.completions.read(now) + PRIOR_ENDS)
+        total = self.relative_run_times.read(now) + PRIOR_RUNS
+        return total / (self.completions.read(now) + PRIOR_RUNS)
 
 
 class ThroughputEstimator:
--- a/locktide/scheduler/estimators/token_bucket.py
+++ b/locktide/scheduler/estimators/token_bucket.py
@@ -1,6 +1,6 @@
 """A token bucket whose rate and capacity may change from one request to the next."""
 
-MICROSECONDS = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class TokenBucket:
@@ -25,7 +25,7 @@
             capacity: the maximum number of tokens in the bucket.
             now: the current time, in microseconds.
         """
-        level = min(capacity, self.level + (now - self.updated_at) * rate / MICROSECONDS)
+        level = min(capacity, self.level + (now - self.updated_at) * rate / MICROSECONDS_PER_SECOND)
         has_token = level >= 1.0
         self.level = level - has_token
         self.updated_at = now
--- a/locktide/scheduler/policy/affinity.py
+++ b/locktide/scheduler/policy/affinity.py
@@ -24,7 +24,7 @@
 ENDPOINTS_PER_SHARE = 1.5
 #: Added before an endpoint count is truncated, so that it is rounded up unless the excess is a rounding
 #: error.
-ROUND_UP = 0.99
+CEILING_OFFSET = 0.99
 #: Assumed requests of other keys, in addition to the observed ones. Otherwise the first key after a restart
 #: would have a share of 1 and be sent to every endpoint.
 OTHER_REQUESTS = 5.0
@@ -74,5 +74,5 @@
         share = self._key_frequencies.share(key, now, others=OTHER_REQUESTS)
         waited = now - request.arrived_at
         doublings = DOUBLINGS_PER_RUN * waited / self._estimates.usual_run_time(request)
-        initial_count = max(MIN_ENDPOINTS, int(ENDPOINTS_PER_SHARE * share * endpoint_count + ROUND_UP))
+        initial_count = max(MIN_ENDPOINTS, int(ENDPOINTS_PER_SHARE * share * endpoint_count + CEILING_OFFSET))
         return initial_count << int(min(MAX_DOUBLINGS, doublings))
--- a/locktide/scheduler/policy/load_shedding.py
+++ b/locktide/scheduler/policy/load_shedding.py
@@ -44,14 +44,14 @@
 POSSIBLE_RUN_SHARE = 0.5
 #: Weight of the shortest usual slack in the mean if the worst-served class has no weight in the objective.
 #: From 0 (each class waits according to its own slack) to 1 (all classes wait equally long).
-MIN_EVENNESS = 0.3
-#: Added to `MIN_EVENNESS` for each unit of `ObjectiveConfig.worst_class_weight`.
-EVENNESS_PER_WEIGHT = 2.0
+MIN_SHORTEST_SLACK_WEIGHT = 0.3
+#: Added to `MIN_SHORTEST_SLACK_WEIGHT` for each unit of `ObjectiveConfig.worst_class_weight`.
+SHORTEST_SLACK_WEIGHT_PER_UNIT = 2.0
 #: Number of round intervals before its deadline at which a request has to leave the pool: one for sending it,
 #: one for its response.
 ROUNDS_BEFORE_DEADLINE = 2
 #: Advised wait for a client whose request fails at any endpoint, in microseconds; `max_retry_after` caps it.
-NO_USE_TO_RETRY = 1 << 60
+UNBOUNDED_RETRY_AFTER = 1 << 60
 #: Minimum time between two log events for rejections, in microseconds, so that an overload does not flood the
 #: log.
 LOG_INTERVAL = 5_000_000
@@ -73,13 +73,15 @@
     attempts: OpenAttempts
     estimates: FleetEstimates
     commands: CommandBuffer
-    _shortest_slack_weight: float = field(default=MIN_EVENNESS, init=False)
+    _shortest_slack_weight: float = field(default=MIN_SHORTEST_SLACK_WEIGHT, init=False)
     _next_log_at: int = field(default=0, init=False)  # microseconds
 
     def configure(self) -> None:
         """Apply the configuration in force."""
         weight = self.config.current.objective.worst_class_weight
-        self._shortest_slack_weight = min(1.0, MIN_EVENNESS + EVENNESS_PER_WEIGHT * weight)
+        self._shortest_slack_weight = min(
+            1.0, MIN_SHORTEST_SLACK_WEIGHT + SHORTEST_SLACK_WEIGHT_PER_UNIT * weight
+        )
 
     def slack(self, request: Request) -> float:
         """Return how long the request may wait for its start and still end within its latency objective."""
@@ -160,7 +162,7 @@
         running = len(self.requests.open) - len(self.requests.waiting)
         advice = int(self.estimates.usual_run_time(request) / max(1, running))
         if request.fails_anywhere:
-            advice = NO_USE_TO_RETRY
+            advice = UNBOUNDED_RETRY_AFTER
         return min(self.config.current.clients.max_retry_after, advice)
 
     def _log_rejection(self, request: Request) -> None:
--- a/tests/scheduler/test_run_time.py
+++ b/tests/scheduler/test_run_time.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from locktide.scheduler.estimators.run_time import NEVER_LONG, RunTimeEstimator
+from locktide.scheduler.estimators.run_time import NO_LONG_RUN_TIME, RunTimeEstimator
 
 SECOND = 1_000_000
 
@@ -52,7 +52,7 @@
     The few run times known by then did not show how much normal runs differ. No run may count as long until
     five completed runs are known.
     """
-    assert ended(*[100_000] * 4).long_run_time(SECOND) == NEVER_LONG
+    assert ended(*[100_000] * 4).long_run_time(SECOND) == NO_LONG_RUN_TIME
 
 
 def test_long_is_three_standard_deviations_over_the_mean() -> None:
