--- a/locktide/simulation/client_site.py
+++ b/locktide/simulation/client_site.py
@@ -29,8 +29,8 @@
         self.machine = Machine(CLIENT, zone, zone)
         dispatchers = [m.number for m in runner.dispatcher_machines if m.zone == zone]
         everybody = [m.number for m in runner.dispatcher_machines]
-        notice = int(runner.script.front.notice * 1e6)
-        self.front = LoadBalancer(dispatchers or everybody, notice, runner.script.seed, zone)
+        notice = int(runner.scenario.front.notice * 1e6)
+        self.front = LoadBalancer(dispatchers or everybody, notice, runner.scenario.seed, zone)
         host = runner.host
         self.lines = [
             ClientConnectionPool(host, self.machine, there, (host.address(there), runner.dispatcher_port))
@@ -46,14 +46,14 @@
         while True:
             now = host.now()
             submission = RequestTry(
-                f"{runner.script.seed:x}-{request.number:x}-{len(request.tries)}",
+                f"{runner.scenario.seed:x}-{request.number:x}-{len(request.tries)}",
                 request,
                 len(request.tries),
                 -1,
                 now,
             )
             request.tries.append(submission)
-            runner.tries[submission.id] = submission
+            runner.submissions[submission.id] = submission
             chosen = self.front.choose(now, request.home)
             if chosen is None:
                 submission.ended = traffic.REFUSED
@@ -65,7 +65,7 @@
                 request.answered_at = submission.ended_at
                 runner.record_response_time(request)
                 return
-            wait = traffic.retry_delay(request, submission, runner.script)
+            wait = traffic.retry_delay(request, submission, runner.scenario)
             if wait is None:
                 return
             await asyncio.sleep(wait / 1e6)
@@ -84,15 +84,15 @@
         location = ""
         while not location and host.now() < limit_at:
             submission = RequestTry(
-                f"{runner.script.seed:x}-{request.number:x}-{len(request.tries)}",
+                f"{runner.scenario.seed:x}-{request.number:x}-{len(request.tries)}",
                 request,
                 len(request.tries),
                 home,
                 host.now(),
             )
             request.tries.append(submission)
-            runner.tries[submission.id] = submission
-            reply = await self.send_to_home(self.question(submission), home)
+            runner.submissions[submission.id] = submission
+            reply = await self.send_to_home(self.build_request(submission), home)
             submission.ended_at = host.now()
             if reply is None or reply.status == 409:
                 # Refused or disconnected; the idempotency key marks the next submission as a repeat.
@@ -112,8 +112,8 @@
 
     async def poll_durable(self, request: ClientRequest, location: str, home: int) -> None:
         host, runner = self.runner.host, self.runner
-        until = host.now() + int((runner.script.durable.limit + DURABLE_GRACE) * 1e6)
-        submission = runner.tries[location[len(names.JOBS) :]]
+        until = host.now() + int((runner.scenario.durable.limit + DURABLE_GRACE) * 1e6)
+        submission = runner.submissions[location[len(names.JOBS) :]]
         while host.now() < until:
             reply = await self.send_to_home(UpstreamRequest("GET", location, []), home)
             state = reply.headers.get("job-state") if reply is not None else None
@@ -154,8 +154,8 @@
         pool.give_back(connection)
         return reply
 
-    def question(self, submission: RequestTry) -> UpstreamRequest:
-        request = submission.ask
+    def build_request(self, submission: RequestTry) -> UpstreamRequest:
+        request = submission.request
         headers = [
             (names.REQUEST_ID.encode(), submission.id.encode()),
             (names.SERVICE_CLASS.encode(), request.grade.name.encode()),
@@ -174,7 +174,7 @@
 
     async def submit(self, submission: RequestTry) -> None:
         """Send one submission, set how it ended, and report it to the checker."""
-        runner, request, host = self.runner, submission.ask, self.runner.host
+        runner, request, host = self.runner, submission.request, self.runner.host
         dispatcher = runner.dispatchers[submission.dispatcher]
         life = dispatcher.life
         closes_at = submission.sent_at + request.closes_after if request.closes_after else None
@@ -227,7 +227,7 @@
                 raise OSError("no connection") from None
             sent_at = self.runner.host.now()
             try:
-                reply = await connection.ask(self.question(submission))
+                reply = await connection.ask(self.build_request(submission))
             except (OSError, ProtocolError) as error:
                 pool.drop(connection)
                 if self.was_closed_unread(connection, submission, sent_at) and not must_open:
--- a/locktide/simulation/fault_injector.py
+++ b/locktide/simulation/fault_injector.py
@@ -8,7 +8,7 @@
 from locktide.simulation.interfaces import EmulatedDispatcher, RunContext
 from locktide.simulation.model import random_streams as chance
 from locktide.simulation.model import traffic
-from locktide.simulation.model.scenario import DISPATCHERS, WORKERS, FaultSpec, resolve_targets
+from locktide.simulation.model.scenario import DISPATCHER_FAULTS, WORKER_FAULTS, FaultSpec, resolve_targets
 from locktide.simulation.model.worker import SharedCapacity
 from locktide.simulation.worker_site import WorkerSite
 
@@ -47,17 +47,17 @@
         self.runner = runner
         self.links_changed_at = -FAR_FUTURE
         self.targets: list[tuple[FaultSpec, list[int]]] = [
-            (fault, self.choose(index, fault)) for index, fault in enumerate(runner.script.incident)
+            (fault, self.choose(index, fault)) for index, fault in enumerate(runner.scenario.incident)
         ]
 
     def choose(self, index: int, fault: FaultSpec) -> list[int]:
-        scenario = self.runner.script
-        if fault.what not in WORKERS | DISPATCHERS:
+        scenario = self.runner.scenario
+        if fault.what not in WORKER_FAULTS | DISPATCHER_FAULTS:
             return []
         targets, percentage = resolve_targets(scenario, fault)
         if not percentage:
             return targets
-        count = scenario.fleet.dispatchers if fault.what in DISPATCHERS else scenario.fleet.workers
+        count = scenario.fleet.dispatchers if fault.what in DISPATCHER_FAULTS else scenario.fleet.workers
         # At least one, also for a small part of a small fleet.
         target_count = max(1, round(percentage * count))
         order = sorted(
@@ -67,7 +67,7 @@
 
     def set(self) -> None:
         """Set a timer for the begin of each fault; the fault itself schedules its end."""
-        host, seed = self.runner.host, self.runner.script.seed
+        host, seed = self.runner.host, self.runner.scenario.seed
         for index, (fault, numbers) in enumerate(self.targets):
             if fault.what in traffic.TRAFFIC_FAULTS:
                 continue
--- a/locktide/simulation/interfaces.py
+++ b/locktide/simulation/interfaces.py
@@ -27,11 +27,11 @@
 class RunContext(Protocol):
     """What all emulated machines need."""
 
-    script: Scenario
+    scenario: Scenario
     host: Backend
     links: NetworkLinks
     checker: Checker
-    tries: dict[str, RequestTry]
+    submissions: dict[str, RequestTry]
     dispatcher_machines: list[Machine]
     dispatcher_port: int
 
--- a/locktide/simulation/model/checker.py
+++ b/locktide/simulation/model/checker.py
@@ -108,8 +108,8 @@
             received.sent_at = min(received.sent_at, cut_at)
         earlier = self.received.setdefault(submission.id, [])
         grade, name = (
-            submission.ask.grade,
-            f"{submission.id} ({submission.ask.grade.name}) at w{worker} by d{dispatcher}",
+            submission.request.grade,
+            f"{submission.id} ({submission.request.grade.name}) at w{worker} by d{dispatcher}",
         )
         if notified_at is not None and received.sent_at > notified_at + self.config.drain_grace:
             late = (received.sent_at - notified_at) / 1000
@@ -165,9 +165,9 @@
         A repeat that was sent in time, but held back by the network past the deduplication window, counts as
         a doubled record, though not as a violation.
         """
-        if submission.ask.grade.effect == "reissuable":
+        if submission.request.grade.effect == "reissuable":
             return
-        held = self.effects.setdefault(submission.ask.key, [])
+        held = self.effects.setdefault(submission.request.key, [])
         if held:
             # A client's own retry of a request that a killed dispatcher held is no violation by a dispatcher.
             is_counted = not any(id in self.excused for id in held)
@@ -175,7 +175,7 @@
                 self.other_counts["doubled records"] += 1
             if is_counted and not (received is not None and received.held_back):
                 self.record_violation(
-                    at, "doubled", f"{submission.id} ({submission.ask.grade.name}): a second effect"
+                    at, "doubled", f"{submission.id} ({submission.request.grade.name}): a second effect"
                 )
         held.append(submission.id)
 
@@ -188,11 +188,11 @@
         self.ended[submission.id] = (now, str(status))
         if now > submission.limit_at + self.config.slack:
             over = (now - submission.limit_at) / 1000
-            what = f"{submission.id} ({submission.ask.grade.name}): {status} {over:.0f} ms past the limit"
+            what = f"{submission.id} ({submission.request.grade.name}): {status} {over:.0f} ms past the limit"
             self.record_violation(now, "late", what)
         if status == 200 and body not in self.results.get(submission.id, ()):
             self.record_violation(now, "forged", f"{submission.id}: done with a result that no worker made")
-        if status in (429, 503) and submission.ask.grade.effect != "reissuable":
+        if status in (429, 503) and submission.request.grade.effect != "reissuable":
             possibly_executed = [
                 attempt for attempt in self.received.get(submission.id, ()) if attempt.state != NEVER_EXECUTED
             ]
@@ -206,7 +206,7 @@
     def unanswered(self, submission: RequestTry, now: int, how: str) -> None:
         """Record that a client stopped waiting, or that its connection ended without a complete response."""
         if submission.id not in self.ended and submission.id not in self.excused:
-            what = f"{submission.id} ({submission.ask.grade.name}) at d{submission.dispatcher}: {how}"
+            what = f"{submission.id} ({submission.request.grade.name}) at d{submission.dispatcher}: {how}"
             self.record_violation(now, "lost", what)
         self.ended.setdefault(submission.id, (now, how))
 
--- a/locktide/simulation/model/discovery.py
+++ b/locktide/simulation/model/discovery.py
@@ -132,8 +132,8 @@
         _, state, boot_at = self.last_notified[number]
         if state == ACTIVE:
             return None
-        times = (self.told_at(number, gone_state, boot_at) for gone_state in (LEAVING, LEFT))
+        times = (self.notification_time(number, gone_state, boot_at) for gone_state in (LEAVING, LEFT))
         return min(at for at in times if at is not None)
 
-    def told_at(self, number: int, state: str, boot_at: int) -> int | None:
+    def notification_time(self, number: int, state: str, boot_at: int) -> int | None:
         return self.notified_at.get((number, state, boot_at))
--- a/locktide/simulation/model/scenario.py
+++ b/locktide/simulation/model/scenario.py
@@ -334,8 +334,8 @@
     )
 
 
-WORKERS = frozenset(("kill", "vanish", "hang", "pause", "slow", "drain", "reset", "trap"))
-DISPATCHERS = frozenset(
+WORKER_FAULTS = frozenset(("kill", "vanish", "hang", "pause", "slow", "drain", "reset", "trap"))
+DISPATCHER_FAULTS = frozenset(
     ("kill-dispatcher", "restart-dispatcher", "trap-dispatcher", "talk-cut", "talk-cut-one-way")
 )
 PERCENTAGE = re.compile(r"(\d{1,3})%")
@@ -346,8 +346,8 @@
 
     Raises ValueError with the word that names no target.
     """
-    count = scenario.fleet.dispatchers if fault.what in DISPATCHERS else scenario.fleet.workers
-    prefix = "d" if fault.what in DISPATCHERS else "w"
+    count = scenario.fleet.dispatchers if fault.what in DISPATCHER_FAULTS else scenario.fleet.workers
+    prefix = "d" if fault.what in DISPATCHER_FAULTS else "w"
     numbers: list[int] = []
     for name in (name.strip() for name in fault.whom.split(",")):
         if name == "all":
@@ -435,13 +435,13 @@
                     f"{where}.at", expected=f"less than length ({scenario.length:g})", found=f"{fault.at:g}"
                 )
             )
-        if fault.what in WORKERS | DISPATCHERS or fault.what == "partition":
+        if fault.what in WORKER_FAULTS | DISPATCHER_FAULTS or fault.what == "partition":
             try:
                 numbers, percentage = resolve_targets(scenario, fault) if scenario.fleet.kinds else ([0], 0.0)
                 if fault.what == "partition" and (percentage or not fault.whom.startswith("zone")):
                     raise ValueError(fault.whom)
             except ValueError as found:
-                prefix = "d" if fault.what in DISPATCHERS else "w"
+                prefix = "d" if fault.what in DISPATCHER_FAULTS else "w"
                 count = scenario.fleet.dispatchers if prefix == "d" else scenario.fleet.workers
                 zones = f"zone0 to zone{scenario.fleet.zones - 1}"
                 wanted = f"{prefix}0 to {prefix}{count - 1}, {zones}, a kind, N% or all"
--- a/locktide/simulation/model/traffic.py
+++ b/locktide/simulation/model/traffic.py
@@ -69,7 +69,7 @@
     """One submission of a request; each retry is a submission with an id of its own."""
 
     id: str
-    ask: ClientRequest
+    request: ClientRequest
     number: int
     dispatcher: int
     sent_at: int
@@ -79,7 +79,7 @@
 
     @property
     def limit_at(self) -> int:
-        return self.sent_at + self.ask.limit
+        return self.sent_at + self.request.limit
 
 
 def capacity(scenario: Scenario) -> float:
--- a/locktide/simulation/outcome.py
+++ b/locktide/simulation/outcome.py
@@ -40,7 +40,7 @@
     """Return the requests that count: not those whose clients disconnected, as these cannot be served."""
     return [
         request
-        for request in runner.asks
+        for request in runner.requests
         if request.tries and request.tries[-1].ended not in ("", traffic.CLOSED)
     ]
 
@@ -78,8 +78,8 @@
 
 def summarize(runner: ScenarioRunner, host: str, complete: bool = True) -> dict[str, Any]:
     """Return the outcome of a run; all figures are of an emulated fleet."""
-    scenario, requests = runner.script, counted_requests(runner)
-    endings = Counter(submission.ended or "open" for submission in runner.tries.values())
+    scenario, requests = runner.scenario, counted_requests(runner)
+    endings = Counter(submission.ended or "open" for submission in runner.submissions.values())
     by_grade = {
         grade.name: [request for request in requests if request.grade is grade] for grade in scenario.grade
     }
@@ -101,7 +101,7 @@
         "by_grade": {name: service(class_requests) for name, class_requests in by_grade.items()},
         "windows_5s": service_by_window(requests, scenario.length),
         "jobs": len(requests),
-        "submissions": len(runner.tries),
+        "submissions": len(runner.submissions),
         "answers": dict(sorted(endings.items())),
         "waits_s": response_times(runner),
         "rules": dict(checker.counts),
--- a/locktide/simulation/run.py
+++ b/locktide/simulation/run.py
@@ -155,7 +155,7 @@
 def cluster_figures(
     runner: ScenarioRunner, traces: list[cluster_report.QuotaTrace], begun: int, digests: list[str]
 ) -> dict[str, Any]:
-    return cluster_report.figures(runner.script, traces, outcome.counted_requests(runner), begun, digests)
+    return cluster_report.figures(runner.scenario, traces, outcome.counted_requests(runner), begun, digests)
 
 
 def check_loopback_support(scenario: Scenario) -> None:
--- a/locktide/simulation/scenario_runner.py
+++ b/locktide/simulation/scenario_runner.py
@@ -55,7 +55,7 @@
 
 class ScenarioRunner:
     def __init__(self, scenario: Scenario, host: Backend) -> None:
-        self.script, self.host = scenario, host
+        self.scenario, self.host = scenario, host
         self.links = NetworkLinks(scenario.network, scenario.seed)
         memory = {g.name: int(g.memory * 1e6) for g in scenario.grade if g.effect == "numbered"}
         self.checker = Checker(
@@ -66,8 +66,8 @@
             )
         )
         self.shared = SharedCapacity(scenario.shared.capacity)
-        self.tries: dict[str, RequestTry] = {}
-        self.asks: list[ClientRequest] = traffic.draw_requests(scenario)
+        self.submissions: dict[str, RequestTry] = {}
+        self.requests: list[ClientRequest] = traffic.draw_requests(scenario)
         self.tasks: dict[asyncio.Task[Any], None] = {}
         self.half_open: list[WorkerConnection] = []
         self.samples: list[Sample] = []
@@ -120,10 +120,10 @@
     # --- set-up of the fleet
 
     def zone_of(self, number: int) -> int:
-        return number % self.script.fleet.zones
+        return number % self.scenario.fleet.zones
 
     def worker_terms(self, number: int) -> WorkerConfig:
-        kind, terms = assign_worker_types(self.script)[number], self.script.worker
+        kind, terms = assign_worker_types(self.scenario)[number], self.scenario.worker
         return WorkerConfig(
             kind.cores,
             kind.speed,
@@ -138,8 +138,10 @@
         )
 
     def entry(self, number: int, boot_at: int = 0) -> ListedWorker:
-        kind, zone = assign_worker_types(self.script)[number], self.zone_of(number)
-        pod = number // self.script.fleet.zones // self.script.fleet.pod * self.script.fleet.zones + zone
+        kind, zone = assign_worker_types(self.scenario)[number], self.zone_of(number)
+        pod = (
+            number // self.scenario.fleet.zones // self.scenario.fleet.pod * self.scenario.fleet.zones + zone
+        )
         # Only the size of the machine, as a discovery service knows no more.
         rating = round(kind.cores * kind.speed, 3)
         return ListedWorker(number, f"w{number}", f"zone{zone}", kind.name, pod, ACTIVE, rating, boot_at)
@@ -154,7 +156,7 @@
         return format_endpoint
 
     def body(self, request: ClientRequest) -> bytes:
-        size = self.script.clients.bodies
+        size = self.scenario.clients.bodies
         return (f"{request.number:x}." * (size // 2 + 1))[:size].encode()
 
     def next_key(self) -> int:
@@ -197,8 +199,8 @@
             entry.number, entry.uid, entry.zone, entry.model, entry.pod, state, entry.rating, entry.boot_at
         )
         for number, site in enumerate(self.agent_sites):
-            fraction = chance.unit(self.script.seed, "roster", number, entry.number, state, entry.boot_at)
-            due = self.host.now() + int((after + fraction * self.script.roster.spread) * 1e6)
+            fraction = chance.unit(self.scenario.seed, "roster", number, entry.number, state, entry.boot_at)
+            due = self.host.now() + int((after + fraction * self.scenario.roster.spread) * 1e6)
             self.agents[number].change(due, changed)
             site.changed()
 
@@ -227,12 +229,12 @@
 
     def schedule_pause(self, site: WorkerSite) -> None:
         """Schedule the next of the short random pauses of a worker."""
-        terms, life = self.script.worker, site.life
+        terms, life = self.scenario.worker, site.life
         if not terms.pause_every or not terms.pause:
             return
         pause_number = self.next_key()
-        gap = terms.pause_every * (0.5 + chance.unit(self.script.seed, "pause", pause_number))
-        span = terms.pause * 2 * chance.unit(self.script.seed, "span", pause_number)
+        gap = terms.pause_every * (0.5 + chance.unit(self.scenario.seed, "pause", pause_number))
+        span = terms.pause * 2 * chance.unit(self.scenario.seed, "span", pause_number)
 
         def pause() -> None:
             if site.life == life and site.worker.up and not self.ended:
@@ -247,7 +249,7 @@
         """Return the start document of a dispatcher, with the endpoint list as its agent has it now."""
         here = self.host.address(self.dispatchers[number].machine)
         return rendered_config.config(
-            self.script,
+            self.scenario,
             number,
             f"{here}:{self.dispatcher_port}",
             f"{here}:{ROSTER_PORT}",
@@ -261,7 +263,9 @@
         dispatcher.life += 1
         dispatcher.alive, dispatcher.stopping = True, False
         config = self.start_file(number)
-        config["seed"] = f"{(self.script.seed * 1_000_003 + number * 1009 + dispatcher.life) & (2**64 - 1):x}"
+        config["seed"] = (
+            f"{(self.scenario.seed * 1_000_003 + number * 1009 + dispatcher.life) & (2**64 - 1):x}"
+        )
         self.host.start_dispatcher(number, config)
 
     def kill_dispatcher(self, number: int) -> None:
@@ -302,7 +306,7 @@
 
     async def watch_dispatcher(self, number: int) -> None:
         """Check the readiness of a dispatcher for the load balancers, each time on a new connection."""
-        dispatcher, check = self.dispatchers[number], self.script.front.check
+        dispatcher, check = self.dispatchers[number], self.scenario.front.check
         site = self.clients[dispatcher.machine.zone]
         while True:
             life = dispatcher.life
@@ -366,7 +370,7 @@
 
     async def send_requests(self) -> None:
         self.playing: list[asyncio.Task[None]] = []
-        for request in self.asks:
+        for request in self.requests:
             wait = request.at - self.host.now()
             if wait > 0:
                 await asyncio.sleep(wait / 1e6)
--- a/locktide/simulation/virtual_backend.py
+++ b/locktide/simulation/virtual_backend.py
@@ -78,12 +78,12 @@
         self.links: Any = None  # of the scenario runner, set once it exists
         self.machines: dict[str, Machine] = {}
         self.processes: dict[int, tuple[VirtualProcess, asyncio.Event]] = {}
-        self.nodes: dict[int, Dispatcher] = {}  # of the processes that have started
+        self.dispatchers: dict[int, Dispatcher] = {}  # of the processes that have started
         self.begun = 0.0
         self.log_lines: list[str] = []
         # Settings, seed, sync latency in seconds, and part of the crashes that leave zeros.
         self.durable: tuple[DurableJobsSection, int, float, float] | None = None
-        self.platters: dict[int, VirtualDisk] = {}
+        self.disks: dict[int, VirtualDisk] = {}
         self.on_crash_point: Callable[[int, str], None] = lambda number, name: None
         self.all_processes: list[VirtualProcess] = []  # also those that have ended
         self.peer_links = PeerLinks(0)
@@ -135,7 +135,7 @@
         process = VirtualProcess(name, start_config["listen"].rpartition(":")[0])
         stop = asyncio.Event()
         self.processes[number] = (process, stop)
-        self.nodes.pop(number, None)
+        self.dispatchers.pop(number, None)
         self.all_processes.append(process)
         config = start_from_document(JsonObject(start_config), {})
         durable_setup = self.durable_setup(number)
@@ -146,7 +146,7 @@
             await asyncio.sleep(START_DELAY)
             log = RecordingLog(name, self.loop, self.log_lines)
             dispatcher = Dispatcher(config, known, log, self)
-            self.nodes[number] = dispatcher
+            self.dispatchers[number] = dispatcher
             job_service = None
             if durable_setup is not None:
                 durable_section, disk = durable_setup
@@ -219,7 +219,7 @@
         Such a process goes by the settings of its start here.
         """
         process, _ = self.processes[number]
-        dispatcher = self.nodes.get(number)
+        dispatcher = self.dispatchers.get(number)
         if dispatcher is None or process.dead:
             return False
         config = start_from_document(JsonObject(start_config), {}, is_reload=True)
@@ -233,8 +233,8 @@
     def kill_dispatcher(self, number: int) -> None:
         self.note_death(self.processes[number][0])
         self.net.kill(self.processes[number][0])
-        if number in self.platters:
-            self.platters[number].crash()
+        if number in self.disks:
+            self.disks[number].crash()
 
     def clock_reading(self) -> ClockReading:
         """Return the clocks of a machine; all machines boot once, at the start of the run."""
@@ -246,9 +246,9 @@
         if self.durable is None:
             return None
         durable_section, seed, latency, zeros = self.durable
-        if number not in self.platters:
-            self.platters[number] = VirtualDisk(seed * 1009 + number, latency, zeros)
-        return durable_section, self.platters[number]
+        if number not in self.disks:
+            self.disks[number] = VirtualDisk(seed * 1009 + number, latency, zeros)
+        return durable_section, self.disks[number]
 
     def dispatcher_runs(self, number: int) -> bool:
         return number in self.processes and not self.processes[number][0].dead
--- a/locktide/simulation/virtual_time/disk.py
+++ b/locktide/simulation/virtual_time/disk.py
@@ -19,7 +19,7 @@
         self.files: dict[str, bytearray] = {}
         self.synced: dict[str, int] = {}
         self.mounted: VirtualStorage | None = None
-        self.room: int | None = None  # bytes until the disk is full; None for no limit
+        self.free_bytes: int | None = None  # bytes until the disk is full; None for no limit
         self.fails_sync = False
         self.crashes = self.dropped = 0
 
@@ -77,20 +77,20 @@
     def append(self, name: str, data: bytes) -> None:
         if not self.alive:
             return
-        room = self.disk.room
+        room = self.disk.free_bytes
         if room is None:
             self.disk.files[name] += data
             return
         fitting = data[: max(0, room)]
-        self.disk.room = room - len(fitting)
+        self.disk.free_bytes = room - len(fitting)
         self.disk.files[name] += fitting
         if len(fitting) < len(data):
             raise OSError(errno.ENOSPC, "no space left")
 
     def truncate(self, name: str, size: int) -> None:
         if self.alive:
-            if self.disk.room is not None:
-                self.disk.room += len(self.disk.files[name]) - size
+            if self.disk.free_bytes is not None:
+                self.disk.free_bytes += len(self.disk.files[name]) - size
             del self.disk.files[name][size:]
             self.disk.synced[name] = min(size, self.disk.synced[name])
 
--- a/locktide/simulation/worker_site.py
+++ b/locktide/simulation/worker_site.py
@@ -56,7 +56,7 @@
         self.transport = transport  # type: ignore[assignment]
         if (
             not self.site.worker.up
-            or len(self.site.open_connections) >= self.site.runner.script.worker.connections
+            or len(self.site.open_connections) >= self.site.runner.scenario.worker.connections
         ):
             self.site.runner.host.reset(transport)
             return
@@ -67,7 +67,7 @@
         if self.idle is not None:
             self.idle.cancel()
         host = self.site.runner.host
-        after = int(self.site.runner.script.worker.idle_close * 1e6)
+        after = int(self.site.runner.scenario.worker.idle_close * 1e6)
         self.idle = host.call_at(host.now() + after, self.idle_close)
 
     def idle_close(self) -> None:
@@ -86,7 +86,7 @@
                 # The sender has cancelled the attempt, even if a hanging process has not read that yet.
                 self.site.mark_cancelled(message.path[len(names.JOBS) :], self.sender)
             self.waiting = True
-            wait = int(self.site.runner.script.worker.handshake * 1e6) if self.first else 0
+            wait = int(self.site.runner.scenario.worker.handshake * 1e6) if self.first else 0
             self.first = False
             self.site.call_when_awake(now + wait, self.site.message, self, message)
 
@@ -206,8 +206,8 @@
     def dispatched(self, connection: WorkerConnection, message: Message) -> None:
         runner, now = self.runner, self.runner.host.now()
         id = message.fields.get(names.REQUEST_ID.lower(), "")
-        submission = runner.tries.get(id)
-        request = submission.ask if submission else None
+        submission = runner.submissions.get(id)
+        request = submission.request if submission else None
         if (
             submission is None
             or request is None
@@ -236,8 +236,8 @@
             return
         runner.reach_crash_point(connection.sender, "dispatch reached")
         key = runner.next_key()
-        cost_factor = chance.stretch(runner.script.seed, runner.script.worker.spread, "cost", id, key)
-        fails = chance.unit(runner.script.seed, "error", key) < runner.script.worker.error_rate
+        cost_factor = chance.stretch(runner.scenario.seed, runner.scenario.worker.spread, "cost", id, key)
+        fails = chance.unit(runner.scenario.seed, "error", key) < runner.scenario.worker.error_rate
         job = RunningJob(
             key, id, connection.sender, max(1000, int(request.work * cost_factor)), request.width, fails
         )
@@ -253,7 +253,7 @@
         if request.grade.effect == "numbered":
             # The arrival of the first byte counts, as a hanging process reads late what was sent in time.
             job.seen = self.pod.record(request.key, message.first_at)
-        if chance.unit(runner.script.seed, "early", key) < runner.script.worker.early:
+        if chance.unit(runner.scenario.seed, "early", key) < runner.scenario.worker.early:
             connection.pending = job
             self.tick()
             self.call_when_awake(now + EARLY_CALLBACK_LEAD, self.accept, connection, received)
@@ -285,7 +285,7 @@
 
     def send_report(self, report: JobReport) -> None:
         runner, job = self.runner, report.job
-        submission = runner.tries[job.id]
+        submission = runner.submissions[job.id]
         received = self.received.get(job.key)
         callback: dict[str, Any] = {"id": job.id, "from": self.entry.uid, "state": names.STARTED}
         if report.state == STARTED:
@@ -331,10 +331,11 @@
     ) -> None:
         if before is not None:
             await asyncio.wait([before])
-        worker_settings, body = self.runner.script.worker, as_json(callback)
+        worker_settings, body = self.runner.scenario.worker, as_json(callback)
         question = UpstreamRequest("POST", names.CALLBACK, [], body)
         is_repeated = (
-            chance.unit(self.runner.script.seed, "twice", job.key, callback["state"]) < worker_settings.twice
+            chance.unit(self.runner.scenario.seed, "twice", job.key, callback["state"])
+            < worker_settings.twice
         )
         for _ in range(worker_settings.call_tries):
             if await self.post(job.sender, question):
@@ -381,7 +382,7 @@
         boot = self.entry.boot_at
 
         def was_notified(sender: int, at: int) -> bool:
-            notified_at = self.runner.agents[sender].told_at(self.number, ACTIVE, boot)
+            notified_at = self.runner.agents[sender].notification_time(self.number, ACTIVE, boot)
             return notified_at is not None and notified_at <= at
 
         self.runner.checker.pushed_over(now, self.number, sent, was_notified)
@@ -423,7 +424,7 @@
                     callback = {"id": job.id, "from": self.entry.uid, "state": "lost"}
                     host.call_at(now + LOSS_REPORT_DELAY, self.call, job, callback)
         self.schedule()
-        self.announce(LEFT, self.runner.script.roster.notice)
+        self.announce(LEFT, self.runner.scenario.roster.notice)
 
     def restart(self) -> None:
         """Start a new process, which is cold."""
@@ -437,7 +438,7 @@
         self.hung_until, self.disturbed_at = 0, now
         self.worker.start(now, cold=True)
         self.entry = self.runner.entry(self.number, boot_at=self.runner.host.unix_time(now))
-        self.announce(ACTIVE, self.runner.script.roster.add)
+        self.announce(ACTIVE, self.runner.scenario.roster.add)
         self.runner.spawn(self.open())
         self.runner.schedule_pause(self)
 
@@ -466,7 +467,7 @@
         if not self.worker.up:
             return
         self.tick()
-        self.announce(LEAVING, self.runner.script.roster.notice)
+        self.announce(LEAVING, self.runner.scenario.roster.notice)
         for report in self.worker.drain(self.runner.host.now()):
             self.send_report(report)
         self.schedule()
--- a/tests/durable/log/test_write_ahead_log.py
+++ b/tests/durable/log/test_write_ahead_log.py
@@ -123,10 +123,10 @@
         disk = VirtualDisk(1, 0.001)
         log = open_log(disk)
         await log.append(accepted_job("before"))
-        disk.room = 50
+        disk.free_bytes = 50
         with pytest.raises(LogWriteError, match="no space"):
             await log.append(accepted_job("too much"))
-        disk.room = None
+        disk.free_bytes = None
         await log.append(accepted_job("after"))
         disk.crash()
         reopened = open_log(disk)
@@ -150,11 +150,11 @@
         await log.append(accepted_job("before"))
 
         def fail_and_free_space(name: str, size: int) -> None:
-            disk.room = None
+            disk.free_bytes = None
             raise OSError(errno.EIO, f"input/output error: {name} to {size} bytes")
 
         storage.truncate = fail_and_free_space  # type: ignore[method-assign]
-        disk.room = 50
+        disk.free_bytes = 50
         writes = [log.append(accepted_job("half")), log.append(accepted_job("waiting"))]
         results = await asyncio.gather(*writes, return_exceptions=True)
         assert [type(result) for result in results] == [LogWriteError, LogWriteError]
@@ -179,10 +179,10 @@
         disk = VirtualDisk(1, 0.001)
         log = open_log(disk, segment_bytes=50)
         framed = framing.FRAME.size + len(records.encode(accepted_job("a")))
-        disk.room = framed + framing.HEADER.size // 2
+        disk.free_bytes = framed + framing.HEADER.size // 2
         await log.append(accepted_job("a"))
         assert list(disk.files) == [segment_name(1)] and not log.failure
-        disk.room = None
+        disk.free_bytes = None
         await log.append(accepted_job("b"))
         await log.wait_until_idle()
         assert list(disk.files) == [segment_name(2)]
--- a/tests/durable/test_recovered_jobs.py
+++ b/tests/durable/test_recovered_jobs.py
@@ -138,12 +138,12 @@
         harness = DispatcherHarness()
         disk = VirtualDisk(1, 0.001)
         service = await recover(harness, [accepted_job("a")], disk=disk)
-        disk.room = 5
+        disk.free_bytes = 5
         await asyncio.sleep(10.0)
         attempts = harness.dispatcher.registry.open_requests["a"].attempts
         assert 2 <= len(attempts) <= 30, "two per second, and those before the disk was full"
         assert not harness.exchanges, "nothing is sent without a lease on the disk"
-        disk.room = None
+        disk.free_bytes = None
         await asyncio.sleep(2.0)
         assert len(harness.exchanges) == 1
         await service.close()
--- a/tests/durable/test_write_order.py
+++ b/tests/durable/test_write_order.py
@@ -65,13 +65,13 @@
     async def scenario() -> None:
         disk = VirtualDisk(1, SYNC_TIME)
         parts = JobParts(open_log(disk))
-        disk.room = 10
+        disk.free_bytes = 10
         rejected = parts.acceptance.submit(job_request())
         assert rejected is not None
         response = await rejected
         assert response.status == 503 and dict(response.headers)["Retry-After"]
         assert not parts.dispatcher.submitted and not parts.state.table.jobs
-        disk.room = None
+        disk.free_bytes = None
         accepted = parts.acceptance.submit(job_request())
         assert accepted is not None
         await asyncio.sleep(2 * SYNC_TIME)
@@ -117,12 +117,12 @@
         response = parts.acceptance.submit(job_request())
         assert response is not None
         await asyncio.sleep(2 * SYNC_TIME)
-        disk.room = 10
+        disk.free_bytes = 10
         parts.completion.finish("a", Response(200, b"collected"))
         await asyncio.sleep(2.0)
         assert not response.done()
         parts.completion.finish("a", Response(502, b"terminated"))
-        disk.room = None
+        disk.free_bytes = None
         assert ((await response).status, (await response).body) == (200, b"collected")
 
     run_in_virtual_time(scenario())
--- a/tests/simulation/test_model.py
+++ b/tests/simulation/test_model.py
@@ -213,7 +213,7 @@
     agent.change(6 * SECOND, entry(ACTIVE, boot_at=9))
     agent.advance(6 * SECOND)
     agent.answer(7 * SECOND, None, True, str)
-    assert agent.drain_notified_at(0) is None and agent.told_at(0, ACTIVE, 9) == 7 * SECOND
+    assert agent.drain_notified_at(0) is None and agent.notification_time(0, ACTIVE, 9) == 7 * SECOND
 
 
 def test_news_of_an_older_process_does_not_undo_that_of_a_newer_one() -> None:
--- a/tests/soak/script.py
+++ b/tests/soak/script.py
@@ -12,7 +12,13 @@
 
 from locktide.config.installation.cluster import ResourceSection
 from locktide.simulation.model import random_scenario
-from locktide.simulation.model.scenario import DISPATCHERS, DurableSpec, FaultSpec, Scenario, ServiceClassSpec
+from locktide.simulation.model.scenario import (
+    DISPATCHER_FAULTS,
+    DurableSpec,
+    FaultSpec,
+    Scenario,
+    ServiceClassSpec,
+)
 from locktide.simulation.model.tenants import ClusterSpec, TenantSpec
 
 #: Seconds for which clients send requests.
@@ -33,7 +39,7 @@
 #: First and last moment, in seconds, at which a series of signals begins.
 FIRST_SIGNAL, LAST_SIGNAL = 0.6, 6.0
 #: Faults that only virtual time can run, or that the signals of the script replace.
-EXCLUDED_FAULTS = DISPATCHERS | {"trap-dispatcher"}
+EXCLUDED_FAULTS = DISPATCHER_FAULTS | {"trap-dispatcher"}
 
 
 #: Scripts hold dispatchers up if their seed has this remainder; the scripts of other seeds stay unchanged.
--- a/tests/soak/stage.py
+++ b/tests/soak/stage.py
@@ -93,7 +93,7 @@
             site.dispatched = partial(self.check_timeout_sent, site.dispatched)  # type: ignore[method-assign]
         self.sent_at: dict[str, int] = {}
         for client in self.clients:
-            client.question = partial(self.record_sent, client.question)  # type: ignore[method-assign]
+            client.build_request = partial(self.record_sent, client.build_request)  # type: ignore[method-assign]
             client.ask = partial(self.send_submission, client.ask)  # type: ignore[method-assign]
             choose_dispatcher = partial(self.choose_dispatcher, client, client.front.choose)
             client.front.choose = choose_dispatcher  # type: ignore[method-assign]
@@ -233,7 +233,7 @@
             self.host.call_at(
                 self.host.now() + round(reload_after * 1e6), self.reload_during_shutdown, number, shutdown
             )
-        longest_timeout = max(grade.limit for grade in self.script.grade)
+        longest_timeout = max(grade.limit for grade in self.scenario.grade)
         kill_at = shutdown.began_at + round((min(SHUTDOWN_TIMEOUT, longest_timeout) + SHUTDOWN_EXTRA) * 1e6)
         while self.host.dispatcher_runs(number) and self.host.now() < kill_at:
             await asyncio.sleep(POLL_INTERVAL)
@@ -288,17 +288,17 @@
         idle clients fill the descriptors, as the dispatcher may then close the connection unread.
         """
         dispatcher_machine = self.dispatchers[submission.dispatcher].machine
-        machine = self.clients[submission.ask.zone].machine
+        machine = self.clients[submission.request.zone].machine
         return (
-            bool(submission.ask.closes_after)
+            bool(submission.request.closes_after)
             or self.links.cut(machine, dispatcher_machine)
             or self.soak_script.has_idle_clients
         )
 
-    def record_sent(self, original_question: Any, submission: RequestTry) -> UpstreamRequest:
+    def record_sent(self, original_build_request: Any, submission: RequestTry) -> UpstreamRequest:
         """Record when a client sends: its timeout counts from then, after the connection was opened."""
         self.sent_at[submission.id] = self.host.now()
-        request: UpstreamRequest = original_question(submission)
+        request: UpstreamRequest = original_build_request(submission)
         return request
 
     def check_timeout_sent(self, original_dispatched: Any, connection: Any, message: Any) -> None:
@@ -307,7 +307,7 @@
         The documented allowance and the slack of the backend are added to that time. An attempt is excused if
         a cut link may have delayed it or its request.
         """
-        submission = self.tries.get(message.fields.get(names.REQUEST_ID.lower(), ""))
+        submission = self.submissions.get(message.fields.get(names.REQUEST_ID.lower(), ""))
         timeout_field = message.fields.get(names.TIMEOUT.lower(), "")
         if (
             submission is not None
@@ -325,9 +325,9 @@
 
     def time_left(self, submission: RequestTry, now: int) -> float:
         """Return the seconds left to the client; for a durable job, as nobody waits, its whole timeout."""
-        if submission.ask.grade.name in self.durable_classes:
-            return self.script.durable.limit
-        return (self.sent_at[submission.id] + submission.ask.limit - now) / 1e6
+        if submission.request.grade.name in self.durable_classes:
+            return self.scenario.durable.limit
+        return (self.sent_at[submission.id] + submission.request.limit - now) / 1e6
 
     def was_delayed_by_network(self, submission: RequestTry, connection: Any, message: Any) -> bool:
         """Return whether a cut link may have delayed the request or the attempt on its way."""
@@ -337,7 +337,7 @@
         )
         if self.held_back(dispatcher, worker, message.first_at) is not None:
             return True
-        return self.clients[submission.ask.zone].cut_off(submission)
+        return self.clients[submission.request.zone].cut_off(submission)
 
     def kill_dispatcher(self, number: int) -> None:
         self.killed_at.setdefault((number, self.dispatchers[number].life), self.host.now())
@@ -424,7 +424,7 @@
 
     def check_quotas(self, traces: list[QuotaTrace], begun: int) -> None:
         """Check that no quota exceeded the whole, and that each lender had its loans back in time."""
-        figures = cluster_report.figures(self.script, traces, self.asks, begun, [])
+        figures = cluster_report.figures(self.scenario, traces, self.requests, begun, [])
         for text in figures["first"]:
             self.findings.add(f"quota over the whole: {text}")
         if figures["late_reclaims"]:
@@ -436,7 +436,7 @@
     def is_excused_by_hold(self, rule: str, description: str, answered_at: int) -> bool:
         """Return whether a late response was due in a hold over the limit, or a log says it was held up."""
         request_id = description.partition(" ")[0].rstrip(":")
-        submission = self.tries.get(request_id)
+        submission = self.submissions.get(request_id)
         if rule != "late" or submission is None:
             return False
         due_at = submission.limit_at + self.checker.config.slack
@@ -459,8 +459,8 @@
                 findings.late_by_hold += 1
             else:
                 findings.add(f"{request_id}: {text}", is_timing_dependent=True)
-        findings.requests = len(self.asks)
-        findings.answered = sum(1 for ask in self.asks if ask.answered_at)
+        findings.requests = len(self.requests)
+        findings.answered = sum(1 for request in self.requests if request.answered_at)
         for violation in self.checker.violations:
             is_undispatched_loss = self.was_lost_before_dispatch(violation.rule, violation.what)
             if is_undispatched_loss and self.soak_script.has_idle_clients:
@@ -481,7 +481,7 @@
     def describe(self, description: str) -> str:
         """Return when a violation's request was sent, its workers, and when its dispatcher got SIGTERM."""
         request_id = description.partition(" ")[0].rstrip(":")
-        submission = self.tries.get(request_id)
+        submission = self.submissions.get(request_id)
         if submission is None:
             return ""
         sent_at = self.sent_at.get(request_id, submission.sent_at) / 1e6
@@ -495,6 +495,6 @@
     def was_lost_before_dispatch(self, rule: str, description: str) -> bool:
         """Return whether a connection ended without a response to a request that reached no worker."""
         request_id = description.partition(" ")[0]
-        submission = self.tries.get(request_id)
+        submission = self.submissions.get(request_id)
         never_sent = request_id not in self.checker.received
         return rule == "lost" and never_sent and submission is not None and submission.ended == traffic.BROKEN
--- a/tests/soak/virtual.py
+++ b/tests/soak/virtual.py
@@ -27,13 +27,13 @@
 
     def fill_disk(self, number: int) -> None:
         """Make the disk of a dispatcher full, if the dispatcher is ready."""
-        if number in self.nodes and self.nodes[number].is_ready():
+        if number in self.dispatchers and self.dispatchers[number].is_ready():
             self.set_free_space(number, 0)
 
     def set_free_space(self, number: int, free_bytes: int | None) -> None:
         """Set how many more bytes the disk of a dispatcher takes; None means no limit."""
-        if number in self.platters:
-            self.platters[number].room = free_bytes
+        if number in self.disks:
+            self.disks[number].free_bytes = free_bytes
 
 
 def run_seed(seed: int, always_holds: bool = False) -> Findings:
@@ -82,7 +82,7 @@
         runner.spawn(idle_clients.run())
     await runner.play()
     idle_clients.close_all()
-    if runner.script.accord.on:
+    if runner.scenario.accord.on:
         await runner.check_ledgers_converge()
         runner.check_quotas(*backend.traced())
     await asyncio.sleep(QUIET_TIME)
@@ -90,7 +90,7 @@
         if any(text in line for text in DEFECT_LOG_TEXTS):
             runner.findings.add(f"log: {line}")
     runner.check_reloads(backend.log_lines)
-    for number, node in backend.nodes.items():
+    for number, node in backend.dispatchers.items():
         if backend.dispatcher_runs(number):
             _check_released(runner, number, node)
 
