--- a/locktide/simulation/cluster/__main__.py
+++ b/locktide/simulation/cluster/__main__.py
@@ -139,9 +139,9 @@
     )
     for fault in borrowing.FAULTS:
         results = [borrowing.measure_reclaims(seed, fault) for seed in range(1, seeds + 1)]
-        reclaim_times = sorted(one.loans_over / 1e6 for result in results for one in result.reclaims)
+        reclaim_times = sorted(one.loans_over_after / 1e6 for result in results for one in result.reclaims)
         restore_times = sorted(
-            one.share_restored / 1e6 if one.share_restored >= 0 else 99.0
+            one.share_restored_after / 1e6 if one.share_restored_after >= 0 else 99.0
             for result in results
             for one in result.reclaims
         )
--- a/locktide/simulation/cluster/processes.py
+++ b/locktide/simulation/cluster/processes.py
@@ -376,7 +376,7 @@
             ):
                 record, changes = json.loads(line), changes + 1
                 loans = {(owner, borrower): share for owner, borrower, share in record["loans"]}
-                checker.in_force(
+                checker.record_quotas(
                     member_process.trace.name,
                     record["at"],
                     record["parts"],
@@ -386,20 +386,20 @@
                     record["loans_until"],
                 )
             if member_process.ended_at:
-                checker.end(member_process.trace.name, member_process.ended_at)
+                checker.record_end(member_process.trace.name, member_process.ended_at)
         for at, tenant in self.submissions:
-            checker.ask(tenant, at)
-        reclaims = [one.loans_over / 1e6 for one in checker.reclaims(3_000_000)]
+            checker.record_submission(tenant, at)
+        reclaims = [one.loans_over_after / 1e6 for one in checker.reclaims(3_000_000)]
         return ProcessOutcome(
             self.seed,
             len(self.names),
             dict(self.fault_counts),
-            [f"{one.at}: {one.budget}, {one.what}" for one in checker.overruns()[:5]],
+            [f"{one.at}: {one.quota}, {one.description}" for one in checker.overruns()[:5]],
             self.relay.received_count,
             self.relay.lost_count,
             changes,
             len(self.submissions),
-            sum(1 for _ in checker.lent()),
+            sum(1 for _ in checker.loan_periods()),
             reclaims,
             len(digests),
             len(views) == len(self.running_processes()) and all(view == views[0] for view in views),
--- a/locktide/simulation/cluster/quota_checker.py
+++ b/locktide/simulation/cluster/quota_checker.py
@@ -23,13 +23,13 @@
 
     Attributes:
         at: when.
-        budget: the name of the quota.
-        what: what was exceeded, and by how much.
+        quota: the name of the quota.
+        description: what was exceeded, and by how much.
     """
 
     at: int
-    budget: str
-    what: str
+    quota: str
+    description: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,16 +38,16 @@
 
     Attributes:
         at: when the owner returned.
-        budget: the name of the quota.
-        loans_over: how long after the return none of its loans was in force any more, in microseconds.
-        share_restored: how long after the return the owner's own shares were nine tenths of the whole again,
-            in microseconds; -1 if they never were.
+        quota: the name of the quota.
+        loans_over_after: how long after the return none of its loans was in force any more, in microseconds.
+        share_restored_after: how long after the return the owner's own shares were nine tenths of the whole
+            again, in microseconds; -1 if they never were.
     """
 
     at: int
-    budget: str
-    loans_over: int
-    share_restored: int
+    quota: str
+    loans_over_after: int
+    share_restored_after: int
 
 
 @dataclass
@@ -91,7 +91,7 @@
     spent_tokens: dict[str, list[tuple[int, int]]] = field(default_factory=lambda: defaultdict(list))
     submissions: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
 
-    def in_force(
+    def record_quotas(
         self,
         process: Any,
         at: int,
@@ -106,15 +106,15 @@
             AppliedQuota(at, dict(shares), shares_until, guaranteed_minimum, dict(loans or {}), loans_until)
         )
 
-    def end(self, process: Any, at: int) -> None:
+    def record_end(self, process: Any, at: int) -> None:
         """Record that a process ended; only its first end counts."""
         self.ended_at.setdefault(process, at)
 
-    def spend(self, quota: str, at: int, tokens: int = 1) -> None:
+    def record_spending(self, quota: str, at: int, tokens: int = 1) -> None:
         """Record that tokens of a quota were spent."""
         self.spent_tokens[quota].append((at, tokens))
 
-    def ask(self, quota: str, at: int) -> None:
+    def record_submission(self, quota: str, at: int) -> None:
         """Record that a request of a quota was submitted."""
         self.submissions[quota].append(at)
 
@@ -135,7 +135,7 @@
             for index, applied in enumerate(quotas):
                 yield applied, min(quotas[index + 1].at if index + 1 < len(quotas) else 1 << 62, end)
 
-    def lent(self) -> Iterator[tuple[int, int, str, str, int]]:
+    def loan_periods(self) -> Iterator[tuple[int, int, str, str, int]]:
         """Yield each loan: from when and until when it was in force, owner, borrower, and share."""
         for applied, end in self.quota_periods():
             ends_at = min(applied.loans_until, end)
@@ -164,7 +164,7 @@
         Of the changes at one instant, those that end something are counted before those that begin something.
         """
         changes = self.share_changes(quota)
-        for begins_at, ends_at, owner, _, share in self.lent():
+        for begins_at, ends_at, owner, _, share in self.loan_periods():
             if owner == quota:
                 changes += [(begins_at, share), (ends_at, -share)]
         total, found = 0, []
@@ -177,7 +177,7 @@
     def find_loans_passed_on(self) -> list[QuotaOverrun]:
         """Find quotas that lend and borrow at the same time, which would pass on what was borrowed."""
         changes = []
-        for begins_at, ends_at, owner, borrower, _ in self.lent():
+        for begins_at, ends_at, owner, borrower, _ in self.loan_periods():
             changes += [(begins_at, 1, owner, borrower), (ends_at, 0, owner, borrower)]
         loans_by_owner: Counter[str] = Counter()
         loans_by_borrower: Counter[str] = Counter()
@@ -208,7 +208,9 @@
         found = []
         for quota, times in self.submissions.items():
             loans = [
-                (begins_at, ends_at) for begins_at, ends_at, owner, _, _ in self.lent() if owner == quota
+                (begins_at, ends_at)
+                for begins_at, ends_at, owner, _, _ in self.loan_periods()
+                if owner == quota
             ]
             totals = self.own_share_totals(quota)
             for previous, at in zip(times, times[1:], strict=False):
--- a/locktide/simulation/cluster/random_runs.py
+++ b/locktide/simulation/cluster/random_runs.py
@@ -268,7 +268,9 @@
             len(self.names),
             dict(self.fault_counts),
             len(overruns),
-            f"{overruns[0].at / 1e6:.3f} s: {overruns[0].budget}, {overruns[0].what}" if overruns else "",
+            f"{overruns[0].at / 1e6:.3f} s: {overruns[0].quota}, {overruns[0].description}"
+            if overruns
+            else "",
             sum(process.spent_tokens for process in cluster.processes),
             sum(process.borrowed_tokens for process in cluster.processes),
             len(cluster.checker.reclaims(3 * SECOND)),
--- a/locktide/simulation/cluster/virtual_cluster.py
+++ b/locktide/simulation/cluster/virtual_cluster.py
@@ -102,7 +102,7 @@
         quota = self.member.local_quota
         shares_until = self.to_shared_clock(quota.shares_until) if quota.shares_until else 0
         loans_until = self.to_shared_clock(quota.loans_until) if quota.loans_until else 0
-        self.cluster.checker.in_force(
+        self.cluster.checker.record_quotas(
             self.process_key,
             self.cluster.now,
             quota.shares,
@@ -157,7 +157,7 @@
             return False
         if self.member.local_quota.expire(self.clock()):
             self.record_quota()
-        self.cluster.checker.ask(quota, self.cluster.now)
+        self.cluster.checker.record_submission(quota, self.cluster.now)
         previous_wakeup, source = self.member.next_wakeup, self.member.spend(quota, self.clock())
         if self.member.next_wakeup < previous_wakeup:
             self.schedule_tick()
@@ -165,7 +165,7 @@
             return False
         self.spent_tokens += 1
         self.borrowed_tokens += source != quota
-        self.cluster.checker.spend(source, self.cluster.now)
+        self.cluster.checker.record_spending(source, self.cluster.now)
         return True
 
     # --- faults
@@ -183,7 +183,7 @@
 
     def kill(self) -> None:
         self.alive = False
-        self.cluster.checker.end(self.process_key, self.cluster.now)
+        self.cluster.checker.record_end(self.process_key, self.cluster.now)
 
     def leave(self) -> None:
         """Stop the process cleanly: it notifies the other members."""
--- a/locktide/simulation/cluster_report.py
+++ b/locktide/simulation/cluster_report.py
@@ -45,7 +45,7 @@
         for line in trace.lines:
             report, changes = json.loads(line), changes + 1
             loans = {(owner, borrower): part for owner, borrower, part in report["loans"]}
-            quota_checker.in_force(
+            quota_checker.record_quotas(
                 (trace.number, index),
                 report["at"],
                 report["parts"],
@@ -55,15 +55,15 @@
                 report["loans_until"],
             )
         if trace.ended_at:
-            quota_checker.end((trace.number, index), trace.ended_at)
+            quota_checker.record_end((trace.number, index), trace.ended_at)
     for at, tenant in sorted(
         (submission.sent_at, request.tenant) for request in requests for submission in request.tries
     ):
         if tenant:
-            quota_checker.ask(tenant, begun + at)
+            quota_checker.record_submission(tenant, begun + at)
     overruns, reclaims = quota_checker.overruns(), quota_checker.reclaims(MIN_ABSENCE)
-    late = [entry for entry in reclaims if entry.loans_over > RECLAIM_TIMEOUT]
-    spans = sorted(entry.loans_over for entry in reclaims)
+    late = [entry for entry in reclaims if entry.loans_over_after > RECLAIM_TIMEOUT]
+    spans = sorted(entry.loans_over_after for entry in reclaims)
     served: Counter[str] = Counter()
     asked: Counter[str] = Counter()
     for request in requests:
@@ -73,7 +73,8 @@
         "changes": changes,
         "overruns": len(overruns),
         "first": [
-            f"{(entry.at - begun) / SECOND:.3f} s {entry.budget}: {entry.what}" for entry in overruns[:3]
+            f"{(entry.at - begun) / SECOND:.3f} s {entry.quota}: {entry.description}"
+            for entry in overruns[:3]
         ],
         "reclaims": len(reclaims),
         "late_reclaims": len(late),
@@ -81,7 +82,7 @@
             "p50": spans[len(spans) // 2] / SECOND if spans else None,
             "worst": spans[-1] / SECOND if spans else None,
         },
-        "loans": sum(1 for _ in quota_checker.lent()),
+        "loans": sum(1 for _ in quota_checker.loan_periods()),
         "ledgers_at_the_end": len(set(digests)),
         "tenants": {
             tenant.name: {
--- a/tests/cluster/test_borrowing.py
+++ b/tests/cluster/test_borrowing.py
@@ -106,14 +106,14 @@
 def test_returning_lender_has_its_whole_again_within_a_second(fault: str) -> None:
     result = borrowing_runs.measure_reclaims(2, fault)
     assert not result.overruns and len(result.reclaims) == 3
-    assert all(reclaim.loans_over <= SECOND for reclaim in result.reclaims)
-    assert all(0 <= reclaim.share_restored <= SECOND for reclaim in result.reclaims)
+    assert all(reclaim.loans_over_after <= SECOND for reclaim in result.reclaims)
+    assert all(0 <= reclaim.share_restored_after <= SECOND for reclaim in result.reclaims)
     assert result.served_after_return > 0.85
 
 
 def test_loans_end_within_a_second_when_no_leader_is_left_to_revoke_them() -> None:
     result = borrowing_runs.measure_reclaims(2, "who divides killed")
-    assert not result.overruns and result.reclaims[0].loans_over <= SECOND
+    assert not result.overruns and result.reclaims[0].loans_over_after <= SECOND
 
 
 def test_lending_serves_more_requests_and_overruns_nothing() -> None:
@@ -265,11 +265,11 @@
 
 def test_checker_measures_how_long_a_reclaim_takes() -> None:
     checker = QuotaChecker({"x": (0.0, 0.0)})
-    checker.in_force("a", 0, {"x": 200_000}, 10**9, 0, {("x", "y"): 700_000}, 10**9)
-    checker.ask("x", 0)
-    checker.ask("x", 5 * SECOND)
-    checker.in_force("a", 5 * SECOND + 300, {"x": 200_000}, 10**9, 0)
-    checker.in_force("a", 5 * SECOND + 900, {"x": 950_000}, 10**9, 0)
+    checker.record_quotas("a", 0, {"x": 200_000}, 10**9, 0, {("x", "y"): 700_000}, 10**9)
+    checker.record_submission("x", 0)
+    checker.record_submission("x", 5 * SECOND)
+    checker.record_quotas("a", 5 * SECOND + 300, {"x": 200_000}, 10**9, 0)
+    checker.record_quotas("a", 5 * SECOND + 900, {"x": 950_000}, 10**9, 0)
     reclaims = checker.reclaims(3 * SECOND)
-    assert [(reclaim.loans_over, reclaim.share_restored) for reclaim in reclaims] == [(300, 900)]
+    assert [(reclaim.loans_over_after, reclaim.share_restored_after) for reclaim in reclaims] == [(300, 900)]
     assert not checker.reclaims(6 * SECOND) and not checker.overruns()
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -55,7 +55,7 @@
         buckets[index].set_share(shares[index], now)
         for bucket in buckets:
             while bucket.spend(now):
-                checker.spend("x", now)
+                checker.record_spending("x", now)
     assert not checker.overruns()
 
 
@@ -248,17 +248,17 @@
 
 def test_checker_reports_overlapping_shares_and_excess_tokens() -> None:
     checker = QuotaChecker({"x": (10.0, 5.0)})
-    checker.in_force("a", 0, {"x": 600_000}, 100, 50_000)
-    checker.in_force("b", 100, {"x": 900_000}, 300, 50_000)
+    checker.record_quotas("a", 0, {"x": 600_000}, 100, 50_000)
+    checker.record_quotas("b", 100, {"x": 900_000}, 300, 50_000)
     assert not checker.overruns(), "a share that ends at an instant does not overlap one that begins then"
-    checker.in_force("c", 150, {"x": 60_000}, 0, 60_000)
+    checker.record_quotas("c", 150, {"x": 60_000}, 0, 60_000)
     assert [overrun.at for overrun in checker.overruns()] == [150]
-    checker.end("a", 140)
+    checker.record_end("a", 140)
     assert not checker.overruns()
     for moment in (0, 0, 0, 0, 0, 100_000):
-        checker.spend("x", moment)
+        checker.record_spending("x", moment)
     assert not checker.overruns()
-    checker.spend("x", 100_001)
+    checker.record_spending("x", 100_001)
     assert [overrun.at for overrun in checker.overruns()] == [100_001]
 
 
