--- a/locktide/simulation/virtual_backend.py
+++ b/locktide/simulation/virtual_backend.py
@@ -270,7 +270,7 @@
     def wall(self) -> float:
         return EPOCH + self.loop.time()
 
-    def listening(self, address: Address, backlog: int) -> Any:
+    def open_listener(self, address: Address, backlog: int) -> Any:
         return self.net.socket(address, backlog)
 
     # --- links
--- a/locktide/transport/interfaces.py
+++ b/locktide/transport/interfaces.py
@@ -55,7 +55,7 @@
     def wall(self) -> float:
         """Return Unix time in seconds."""
 
-    def listening(self, address: Address, backlog: int) -> socket.socket:
+    def open_listener(self, address: Address, backlog: int) -> socket.socket:
         """Return a socket on which the event loop can accept; raise OSError."""
 
 
--- a/locktide/transport/listener.py
+++ b/locktide/transport/listener.py
@@ -74,7 +74,7 @@
 
     def listen(self, address: Address) -> None:
         """Listen and start to accept connections; raise OSError."""
-        self.socket = self.system.listening(address, BACKLOG)
+        self.socket = self.system.open_listener(address, BACKLOG)
         self.socket.setblocking(False)
         self.accepting = asyncio.create_task(self.accept())
 
--- a/locktide/transport/system.py
+++ b/locktide/transport/system.py
@@ -15,6 +15,6 @@
         """Return Unix time in seconds."""
         return time.time()
 
-    def listening(self, address: Address, backlog: int) -> socket.socket:
+    def open_listener(self, address: Address, backlog: int) -> socket.socket:
         """Return a listening socket; raise OSError."""
         return socket.create_server(address, backlog=backlog)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -157,7 +157,7 @@
         """Return Unix time in seconds."""
         return 1_000_000.0 + self.loop.time()
 
-    def listening(self, address: Any, backlog: int) -> Any:
+    def open_listener(self, address: Any, backlog: int) -> Any:
         """Return a socket that listens in the virtual network."""
         return self.network.socket(address, backlog)
 
