--- a/locktide/scheduler/events.py
+++ b/locktide/scheduler/events.py
@@ -1,8 +1,8 @@
 """Events: what a host reports to the scheduler.
 
 Times are in microseconds, on the clock whose time is passed to `Scheduler.step`. Events are not modified
-after their construction. Types with several events per request or one object per listed worker are still not
-declared frozen: building a frozen dataclass of three fields took 1.4 us, a plain one 0.4 us.
+after their construction. Types with several events per request or one object per listed worker are
+nevertheless not declared frozen: building a frozen dataclass of three fields took 1.4 us, a plain one 0.4 us.
 """
 
 from __future__ import annotations
@@ -184,14 +184,14 @@
         request_id: the request of the attempt.
         attempt: the number of the attempt.
         outcome: how the attempt ended.
-        final: whether the request itself has its response.
+        is_final: whether the request itself has its response.
         load: load figures that the worker reported, by name.
     """
 
     request_id: RequestId
     attempt: int
     outcome: AttemptOutcome
-    final: bool
+    is_final: bool
     load: dict[str, float] = field(default_factory=dict)
 
 
--- a/locktide/scheduler/policy/endpoint_polling.py
+++ b/locktide/scheduler/policy/endpoint_polling.py
@@ -11,8 +11,8 @@
   notified only after twice as long again.
 - If a dispatcher counts as notified of a change after `notified_within`, whether or not its calls succeeded,
   the span after a failure is at most two thirds of `notified_within`, as every rejected call delays those of
-  the other dispatchers. After a call without response it is at most one third, since that call itself took up
-  to a half. Otherwise the dispatcher would send by a list from before an outage.
+  the other dispatchers. After a call without response the span is at most one third, since that call itself
+  took up to a half. With longer spans the dispatcher would still use a list from before an outage.
 
 A successful call starts a watch of the list; no further call is made until the watch fails.
 """
@@ -52,7 +52,7 @@
 
     def poll_when_due(self) -> None:
         """Command a call for the list if it is polled, not watched, and the next call is due."""
-        is_polled = self.config.current.endpoint_list.polled
+        is_polled = self.config.current.endpoint_list.is_polled
         if is_polled and not self._is_watched and self.clock.now >= self._next_poll_at:
             self._is_watched = True
             self.commands.add(WatchEndpoints(True))
--- a/locktide/scheduler/policy/placement_strategy.py
+++ b/locktide/scheduler/policy/placement_strategy.py
@@ -1,4 +1,4 @@
-"""Placement strategies: how an endpoint is drawn, and what else depends on knowledge of their load.
+"""Placement strategies: how endpoints are drawn, and what else depends on knowledge of their load.
 
 There are two strategies. If the load of endpoints is unknown, the draw is uniform (`uniform_placement`). If
 the ratings of the endpoint list fall with load, the draw is weighted by them (`weighted_placement`). The
@@ -61,6 +61,6 @@
 
     def configure(self) -> None:
         """Choose the strategy for the configuration in force, and configure it."""
-        has_live_ratings = self._config.current.endpoint_list.live_ratings
+        has_live_ratings = self._config.current.endpoint_list.has_live_ratings
         self.current = self._weighted if has_live_ratings else self._uniform
         self.current.configure()
--- a/locktide/simulation/fault_injector.py
+++ b/locktide/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario: draws the targets of each once, then begins and ends each in its time."""
+"""Injects the faults of a scenario: draws the targets of each once, then begins and ends each at its time."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from locktide.simulation.interfaces import EmulatedDispatcher, RunContext
 from locktide.simulation.model import random_streams as chance
 from locktide.simulation.model import traffic
-from locktide.simulation.model.scenario import DISPATCHERS, WORKERS, FaultSpec, resolve_targets
+from locktide.simulation.model.scenario import DISPATCHER_FAULTS, WORKER_FAULTS, FaultSpec, resolve_targets
 from locktide.simulation.model.worker import SharedCapacity
 from locktide.simulation.worker_site import WorkerSite
 
-# In a planned restart, a dispatcher that has not ended so many seconds after SIGTERM is killed. The platform
-# waits at least for the longest time limit (but no more than 3 s) and 0.7 s more.
+# Seconds after SIGTERM until a planned restart kills a dispatcher that has not ended. The platform waits at
+# least for the longest time limit (but no more than 3 s) and 0.7 s more.
 KILL_DELAY = 3.7
 # Microseconds between two checks whether a drained worker is empty, or a stopped dispatcher has ended.
 CHECK_INTERVAL = 100_000
@@ -47,17 +47,17 @@
         self.runner = runner
         self.links_changed_at = -FAR_FUTURE
         self.targets: list[tuple[FaultSpec, list[int]]] = [
-            (fault, self.choose(index, fault)) for index, fault in enumerate(runner.script.incident)
+            (fault, self.choose(index, fault)) for index, fault in enumerate(runner.scenario.incident)
         ]
 
     def choose(self, index: int, fault: FaultSpec) -> list[int]:
-        scenario = self.runner.script
-        if fault.what not in WORKERS | DISPATCHERS:
+        scenario = self.runner.scenario
+        if fault.what not in WORKER_FAULTS | DISPATCHER_FAULTS:
             return []
         targets, percentage = resolve_targets(scenario, fault)
         if not percentage:
             return targets
-        count = scenario.fleet.dispatchers if fault.what in DISPATCHERS else scenario.fleet.workers
+        count = scenario.fleet.dispatchers if fault.what in DISPATCHER_FAULTS else scenario.fleet.workers
         # At least one, also for a small part of a small fleet.
         target_count = max(1, round(percentage * count))
         order = sorted(
@@ -66,8 +66,8 @@
         return sorted(order[:target_count])
 
     def set(self) -> None:
-        """Set a timer for the begin of each fault; the fault itself schedules its end."""
-        host, seed = self.runner.host, self.runner.script.seed
+        """Set a timer for the start of each fault; the fault itself schedules its end."""
+        host, seed = self.runner.host, self.runner.scenario.seed
         for index, (fault, numbers) in enumerate(self.targets):
             if fault.what in traffic.TRAFFIC_FAULTS:
                 continue
@@ -87,7 +87,7 @@
     # --- datagrams between dispatchers
 
     def do_talk_cut(self, fault: FaultSpec, number: int, until: int, both: bool = True) -> None:
-        """Drop all datagrams from and, for both ways, to a dispatcher."""
+        """Drop all datagrams from a dispatcher and, if `both`, also those to it."""
         others = [f"d{candidate}" for candidate in range(len(self.runner.dispatchers)) if candidate != number]
         pairs = {(f"d{number}", other) for other in others}
         if both:
--- a/locktide/simulation/interfaces.py
+++ b/locktide/simulation/interfaces.py
@@ -1,4 +1,4 @@
-"""What the emulated machines see of the scenario runner: each only the part that it needs."""
+"""The scenario runner as the emulated machines see it: an interface for each kind of machine."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 class RunContext(Protocol):
     """What all emulated machines need."""
 
-    script: Scenario
+    scenario: Scenario
     host: Backend
     links: NetworkLinks
     checker: Checker
-    tries: dict[str, RequestTry]
+    submissions: dict[str, RequestTry]
     dispatcher_machines: list[Machine]
     dispatcher_port: int
 
--- a/locktide/simulation/model/checker.py
+++ b/locktide/simulation/model/checker.py
@@ -2,7 +2,7 @@
 
 The checker uses no records of the dispatchers: its input is the attempts that reached workers, the responses
 that clients received, the endpoint lists that dispatchers were sent, and the effects of jobs. The time at
-which an attempt was sent is not observed; the earliest that the link allows is assumed.
+which an attempt was sent is not observed; the earliest time that the link allows is assumed.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
         self.results: dict[str, set[bytes]] = {}
         self.ended: dict[str, tuple[int, str]] = {}  # time and status of the response to the client
         self.effects: dict[str, list[str]] = {}  # the submissions that had an effect, by idempotency key
-        self.excused: set[str] = set()  # held by a dispatcher when it was killed
+        self.excused: set[str] = set()  # ids that a dispatcher held when it was killed
         self.other_counts = {"doubled records": 0, "fell over": 0}
 
     def record_violation(self, at: int, rule: str, what: str) -> None:
@@ -99,17 +99,17 @@
         """Check an attempt that has reached a worker completely.
 
         `notified_at` is when its dispatcher was notified that the worker drains or is gone; `cut_at` is when
-        the link was cut, for an attempt held back by that; `could_have_ended` tells whether the dispatcher
+        the link was cut, for an attempt held back by that; `could_have_ended` returns whether the dispatcher
         could have ended an attempt in a way that both sides know.
         """
-        # The attempt was sent at the earliest by the largest delay of the link before its first byte came.
+        # The attempt was sent no earlier than the largest delay of the link before its first byte arrived.
         received = ReceivedAttempt(worker, pod, dispatcher, at, first_at - max_delay, cut_at is not None)
         if cut_at is not None:
             received.sent_at = min(received.sent_at, cut_at)
         earlier = self.received.setdefault(submission.id, [])
         grade, name = (
-            submission.ask.grade,
-            f"{submission.id} ({submission.ask.grade.name}) at w{worker} by d{dispatcher}",
+            submission.request.grade,
+            f"{submission.id} ({submission.request.grade.name}) at w{worker} by d{dispatcher}",
         )
         if notified_at is not None and received.sent_at > notified_at + self.config.drain_grace:
             late = (received.sent_at - notified_at) / 1000
@@ -160,14 +160,14 @@
         self.results.setdefault(id, set()).add(result)
 
     def effect(self, at: int, submission: RequestTry, received: ReceivedAttempt | None = None) -> None:
-        """Check the effect of a job: it has started, and is no repeat that its pod drops.
+        """Check the effect of a job that has started and that its pod has not dropped as a repeat.
 
         A repeat that was sent in time, but held back by the network past the deduplication window, counts as
         a doubled record, though not as a violation.
         """
-        if submission.ask.grade.effect == "reissuable":
+        if submission.request.grade.effect == "reissuable":
             return
-        held = self.effects.setdefault(submission.ask.key, [])
+        held = self.effects.setdefault(submission.request.key, [])
         if held:
             # A client's own retry of a request that a killed dispatcher held is no violation by a dispatcher.
             is_counted = not any(id in self.excused for id in held)
@@ -175,7 +175,7 @@
                 self.other_counts["doubled records"] += 1
             if is_counted and not (received is not None and received.held_back):
                 self.record_violation(
-                    at, "doubled", f"{submission.id} ({submission.ask.grade.name}): a second effect"
+                    at, "doubled", f"{submission.id} ({submission.request.grade.name}): a second effect"
                 )
         held.append(submission.id)
 
@@ -188,11 +188,11 @@
         self.ended[submission.id] = (now, str(status))
         if now > submission.limit_at + self.config.slack:
             over = (now - submission.limit_at) / 1000
-            what = f"{submission.id} ({submission.ask.grade.name}): {status} {over:.0f} ms past the limit"
+            what = f"{submission.id} ({submission.request.grade.name}): {status} {over:.0f} ms past the limit"
             self.record_violation(now, "late", what)
         if status == 200 and body not in self.results.get(submission.id, ()):
             self.record_violation(now, "forged", f"{submission.id}: done with a result that no worker made")
-        if status in (429, 503) and submission.ask.grade.effect != "reissuable":
+        if status in (429, 503) and submission.request.grade.effect != "reissuable":
             possibly_executed = [
                 attempt for attempt in self.received.get(submission.id, ()) if attempt.state != NEVER_EXECUTED
             ]
@@ -206,7 +206,7 @@
     def unanswered(self, submission: RequestTry, now: int, how: str) -> None:
         """Record that a client stopped waiting, or that its connection ended without a complete response."""
         if submission.id not in self.ended and submission.id not in self.excused:
-            what = f"{submission.id} ({submission.ask.grade.name}) at d{submission.dispatcher}: {how}"
+            what = f"{submission.id} ({submission.request.grade.name}) at d{submission.dispatcher}: {how}"
             self.record_violation(now, "lost", what)
         self.ended.setdefault(submission.id, (now, how))
 
--- a/locktide/simulation/outcome.py
+++ b/locktide/simulation/outcome.py
@@ -31,7 +31,7 @@
 
 
 def service(requests: Iterable[ClientRequest]) -> float | None:
-    """Return the part of the revenue whose response met the latency objective; None without requests."""
+    """Return the fraction of the revenue earned within the latency objectives; None without requests."""
     requests = list(requests)
     return ratio(revenue_on_time(requests), sum(request.revenue for request in requests))
 
@@ -40,13 +40,13 @@
     """Return the requests that count: not those whose clients disconnected, as these cannot be served."""
     return [
         request
-        for request in runner.asks
+        for request in runner.requests
         if request.tries and request.tries[-1].ended not in ("", traffic.CLOSED)
     ]
 
 
 def worst_window_service(requests: list[ClientRequest], length: float) -> float | None:
-    """Return the service of the worst ten seconds, by the time of the requests."""
+    """Return the lowest `service` of any ten seconds; a request counts at its first submission."""
     found = []
     for begin in range(max(1, int(length) - WORST_S + 1)):
         window = [request for request in requests if begin <= request.at / 1e6 < begin + WORST_S]
@@ -78,8 +78,8 @@
 
 def summarize(runner: ScenarioRunner, host: str, complete: bool = True) -> dict[str, Any]:
     """Return the outcome of a run; all figures are of an emulated fleet."""
-    scenario, requests = runner.script, counted_requests(runner)
-    endings = Counter(submission.ended or "open" for submission in runner.tries.values())
+    scenario, requests = runner.scenario, counted_requests(runner)
+    endings = Counter(submission.ended or "open" for submission in runner.submissions.values())
     by_grade = {
         grade.name: [request for request in requests if request.grade is grade] for grade in scenario.grade
     }
@@ -101,7 +101,7 @@
         "by_grade": {name: service(class_requests) for name, class_requests in by_grade.items()},
         "windows_5s": service_by_window(requests, scenario.length),
         "jobs": len(requests),
-        "submissions": len(runner.tries),
+        "submissions": len(runner.submissions),
         "answers": dict(sorted(endings.items())),
         "waits_s": response_times(runner),
         "rules": dict(checker.counts),
--- a/locktide/simulation/virtual_backend.py
+++ b/locktide/simulation/virtual_backend.py
@@ -75,15 +75,15 @@
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop, self.net = loop, VirtualNetwork(loop, self)
-        self.links: Any = None  # of the scenario runner, set once it exists
+        self.links: Any = None  # the links of the scenario runner, set once that exists
         self.machines: dict[str, Machine] = {}
         self.processes: dict[int, tuple[VirtualProcess, asyncio.Event]] = {}
-        self.nodes: dict[int, Dispatcher] = {}  # of the processes that have started
+        self.dispatchers: dict[int, Dispatcher] = {}  # of the processes that have started
         self.begun = 0.0
         self.log_lines: list[str] = []
-        # Settings, seed, sync latency in seconds, and part of the crashes that leave zeros.
+        # Settings, seed, sync latency in seconds, and fraction of the crashes that leave zeros.
         self.durable: tuple[DurableJobsSection, int, float, float] | None = None
-        self.platters: dict[int, VirtualDisk] = {}
+        self.disks: dict[int, VirtualDisk] = {}
         self.on_crash_point: Callable[[int, str], None] = lambda number, name: None
         self.all_processes: list[VirtualProcess] = []  # also those that have ended
         self.peer_links = PeerLinks(0)
@@ -135,7 +135,7 @@
         process = VirtualProcess(name, start_config["listen"].rpartition(":")[0])
         stop = asyncio.Event()
         self.processes[number] = (process, stop)
-        self.nodes.pop(number, None)
+        self.dispatchers.pop(number, None)
         self.all_processes.append(process)
         config = start_from_document(JsonObject(start_config), {})
         durable_setup = self.durable_setup(number)
@@ -146,7 +146,7 @@
             await asyncio.sleep(START_DELAY)
             log = RecordingLog(name, self.loop, self.log_lines)
             dispatcher = Dispatcher(config, known, log, self)
-            self.nodes[number] = dispatcher
+            self.dispatchers[number] = dispatcher
             job_service = None
             if durable_setup is not None:
                 durable_section, disk = durable_setup
@@ -176,7 +176,7 @@
         trace = io.StringIO()
         self.traces.append((number, process, trace))
         cluster_config = self.cluster_for(number, process.name, process.address)
-        # The time of its start distinguishes it from earlier processes, as the real clock does elsewhere.
+        # The start time distinguishes the process from earlier ones, as the real clock does elsewhere.
         cluster_config = replace(
             cluster_config, member_id=(process.name, round(self.wall() * 1e6)), random_seed=len(self.traces)
         )
@@ -206,7 +206,7 @@
         ], round(self.begun * 1e6)
 
     def on_dispatcher_ended(self, done: asyncio.Task[None]) -> None:
-        """Record the exception of a dispatcher that failed; it would otherwise pass for a silent one."""
+        """Record the exception of a dispatcher that failed; it would otherwise look like a silent one."""
         if not done.cancelled() and (error := done.exception()) is not None:
             self.loop.unhandled.append({"message": "a dispatcher ended", "exception": error})
 
@@ -216,10 +216,10 @@
     def reload_dispatcher(self, number: int, start_config: dict[str, Any]) -> bool:
         """Put other settings in force, as SIGHUP does; return False for a process that is not up yet.
 
-        Such a process goes by the settings of its start here.
+        Here such a process keeps the settings with which it was started.
         """
         process, _ = self.processes[number]
-        dispatcher = self.nodes.get(number)
+        dispatcher = self.dispatchers.get(number)
         if dispatcher is None or process.dead:
             return False
         config = start_from_document(JsonObject(start_config), {}, is_reload=True)
@@ -227,14 +227,14 @@
         return True
 
     def hold_up_dispatcher(self, number: int, seconds: float) -> None:
-        """Give a dispatcher no processor for so long; what is sent to it still arrives."""
+        """Give a dispatcher no processor for `seconds`; what is sent to it still arrives."""
         self.processes[number][0].held_until = self.loop.time() + seconds
 
     def kill_dispatcher(self, number: int) -> None:
         self.note_death(self.processes[number][0])
         self.net.kill(self.processes[number][0])
-        if number in self.platters:
-            self.platters[number].crash()
+        if number in self.disks:
+            self.disks[number].crash()
 
     def clock_reading(self) -> ClockReading:
         """Return the clocks of a machine; all machines boot once, at the start of the run."""
@@ -246,9 +246,9 @@
         if self.durable is None:
             return None
         durable_section, seed, latency, zeros = self.durable
-        if number not in self.platters:
-            self.platters[number] = VirtualDisk(seed * 1009 + number, latency, zeros)
-        return durable_section, self.platters[number]
+        if number not in self.disks:
+            self.disks[number] = VirtualDisk(seed * 1009 + number, latency, zeros)
+        return durable_section, self.disks[number]
 
     def dispatcher_runs(self, number: int) -> bool:
         return number in self.processes and not self.processes[number][0].dead
@@ -270,7 +270,7 @@
     def wall(self) -> float:
         return EPOCH + self.loop.time()
 
-    def listening(self, address: Address, backlog: int) -> Any:
+    def open_listener(self, address: Address, backlog: int) -> Any:
         return self.net.socket(address, backlog)
 
     # --- links
--- a/locktide/transport/interfaces.py
+++ b/locktide/transport/interfaces.py
@@ -42,7 +42,8 @@
     def handle_callback(self, message: Callback) -> Awaitable[None] | None:
         """Handle a callback; if an awaitable is returned, the worker gets its response once it is done.
 
-        If it raises OSError, the worker gets no response and keeps its message to repeat it.
+        If the method or the awaitable raises OSError, the worker gets no response and keeps its message to
+        repeat it.
         """
 
     def query_job(self, message: JobQuery) -> Response:
@@ -55,7 +56,7 @@
     def wall(self) -> float:
         """Return Unix time in seconds."""
 
-    def listening(self, address: Address, backlog: int) -> socket.socket:
+    def open_listener(self, address: Address, backlog: int) -> socket.socket:
         """Return a socket on which the event loop can accept; raise OSError."""
 
 
